--- a/src/forward/allowed_servers.cc
+++ b/src/forward/allowed_servers.cc
@@ -27,20 +27,20 @@
     allowed.order = rule.order;
   }
   allowed.pooled = &pool.candidates(query.service, query.model, now);
-  allowed.askedBudget = mayBeCanary(hooks, pool, query, rule, now);
-  if (allowed.askedBudget && hooks.takeCanary(rule.order, query.route)) {
-    routing::CandidateSet few =
+  allowed.canaryBudgetAsked = mayBeCanary(hooks, pool, query, rule, now);
+  if (allowed.canaryBudgetAsked && hooks.takeCanary(rule.order, query.route)) {
+    routing::CandidateSet canaryServers =
         pool.canary(query.service, query.model, hooks.canaryServerShare, now);
-    if (!few.empty()) {
+    if (!canaryServers.empty()) {
       allowed.track = Track::kCandidate;
-      allowed.canary = std::move(few);
+      allowed.canary = std::move(canaryServers);
     }
   }
   if (rule.use == CandidateUse::kEverything) {
     const routing::CandidateSet& candidate =
         pool.candidates(query.service, query.model, now, Track::kCandidate);
-    const bool stableLeft = holdsUntried(*allowed.pooled, query.tried);
-    if (!candidate.empty() && (holdsUntried(candidate, query.tried) || !stableLeft)) {
+    const bool stableHasUntried = containsUntried(*allowed.pooled, query.tried);
+    if (!candidate.empty() && (containsUntried(candidate, query.tried) || !stableHasUntried)) {
       allowed.track = Track::kCandidate;
       allowed.pooled = &candidate;
     }
@@ -48,7 +48,7 @@
   return allowed;
 }
 
-bool holdsUntried(const routing::CandidateSet& set, const std::vector<BackendId>& tried) {
+bool containsUntried(const routing::CandidateSet& set, const std::vector<BackendId>& tried) {
   for (std::size_t position = 0; position < set.size(); ++position) {
     if (std::find(tried.begin(), tried.end(), set[position].id) == tried.end()) {
       return true;
--- a/src/forward/allowed_servers.h
+++ b/src/forward/allowed_servers.h
@@ -9,40 +9,42 @@
 
 namespace calicodrift::forward {
 
-/// The servers that a dispatch may go to now, all of one version where a service's versions are
-/// told apart. Holds until the next change of the pool: not over a `co_await`.
+/// The servers that a dispatch may be sent to now; all run one version if a rule distinguishes the
+/// service's versions. Invalidated by the next change of the pool, so it must not be held across a
+/// `co_await`.
 struct AllowedServers {
   const routing::CandidateSet& set() const { return canary ? *canary : *pooled; }
 
   service_rollout::Track track = service_rollout::Track::kStable;
-  /// The order under way; 0: none.
+  /// Rollout order in progress; 0 if there is none.
   service_rollout::OrderKey order;
-  /// The canary's budget was asked for the request.
-  bool askedBudget = false;
+  /// Whether the canary budget was asked for this request.
+  bool canaryBudgetAsked = false;
   const routing::CandidateSet* pooled = nullptr;
-  /// The candidate's few servers of the canary, where the request is one.
+  /// The subset of the candidate version's servers that receives canary requests; set only if this
+  /// request is one.
   std::optional<routing::CandidateSet> canary;
 };
 
-/// A dispatch that needs a server.
+/// Describes a dispatch that needs a server.
 struct ServerQuery {
   const std::string& service;
   const ModelId& model;
   service_rollout::RouteKey route;
-  /// Servers that have had the request.
+  /// Servers that the request has already been sent to.
   const std::vector<BackendId>& tried;
-  /// Whether it may be the canary: the request's first dispatch.
+  /// Whether the request may be a canary request; true only for its first dispatch.
   bool mayBeCanary = false;
 };
 
-/// Asks for the service's rule and brings the pool's sets in line with it first, so that no choice
-/// goes by an older one. The canary's budget is asked only for a query that may be the canary, and
-/// only where the candidate has servers. While the rule allows the candidate no more than the
-/// canary, everything else goes to the stable version, also where that has no server left.
+/// Fetches the service's traffic rule and updates the pool's candidate sets to it first, so that no
+/// choice uses an outdated rule. The canary budget is asked only if the query may be a canary
+/// request and the candidate version has servers. While the rule limits the candidate version to
+/// canary requests, all other requests go to the stable version, even if it has no server left.
 AllowedServers allowedServers(const RolloutHooks& hooks, fleet::ServerPool& pool,
                               const ServerQuery& query, MonotonicTime now);
 
-/// Whether the set holds a server that has not had the request.
-bool holdsUntried(const routing::CandidateSet& set, const std::vector<BackendId>& tried);
+/// Whether the set contains a server that the request has not been sent to.
+bool containsUntried(const routing::CandidateSet& set, const std::vector<BackendId>& tried);
 
 }  // namespace calicodrift::forward
--- a/src/forward/answer_observer.h
+++ b/src/forward/answer_observer.h
@@ -13,94 +13,98 @@
 
 namespace calicodrift::forward {
 
-/// How a dispatch ended, as far as it tells of its server's version.
+/// How a dispatch ended, as evidence about its server's version.
 enum class DispatchEnd {
-  /// Not run, not reached, or ended by the caller or this node: it tells nothing.
+  /// Not run, server not reached, or ended by the caller or this node: no evidence about the
+  /// version.
   kNoAnswer,
   kAnswered,
-  /// The server answered with a failure of its own.
+  /// The server answered with an error of its own.
   kFailed,
-  /// The server's stream broke off.
+  /// The server's stream ended before it was complete.
   kBroken,
 };
 
-/// One dispatch, after its end.
+/// The result of one finished dispatch.
 struct DispatchReport {
   std::string service;
   service_rollout::RouteKey route;
   service_rollout::Track track = service_rollout::Track::kStable;
-  /// Under way when it was sent; 0: none.
+  /// Rollout order in progress when the request was sent; 0 if there was none.
   service_rollout::OrderKey order;
   BackendId server;
   DispatchEnd end = DispatchEnd::kNoAnswer;
-  /// Whether the answer tells how fast the version is, see ServerPool::tellsSpeed().
-  bool tellsSpeed = true;
-  /// From the send to the first event, or to the answer's body.
+  /// Whether the latency is representative of the version, see ServerPool::tellsSpeed().
+  bool latencyRepresentative = true;
+  /// Milliseconds from sending the request to the first event, or to the body of the answer.
   std::optional<double> startMs;
-  /// What the cost functions of routing let expect of it when the server was chosen; nothing for
-  /// services without models, whose usual time is learnt.
+  /// Milliseconds that the routing cost functions predicted when the server was chosen; empty for
+  /// services without models, whose baseline is learnt.
   std::optional<double> expectedStartMs;
-  /// Mean time between its events.
+  /// Mean time between two events of the stream, in milliseconds.
   std::optional<double> paceMs;
 };
 
-/// Makes of dispatches what judges of a version need: whether they failed, and how fast they were
-/// against what is usual. No I/O; calls are told the time.
+/// Derives the observations that evaluate a version from finished dispatches: whether each failed,
+/// and its latency relative to a baseline. Does no I/O; callers pass the time.
 ///
-/// What is usual is learnt from the stable version alone: a slow candidate would else raise it and
-/// look less slow. It is learnt also while no order is under way, so that it is known when one
-/// begins.
+/// The baseline is learnt from the stable version only: a slow candidate would raise it and so look
+/// less slow. It is also learnt while no order is in progress, so that it is known when one begins.
 class AnswerObserver {
  public:
-  using Told = std::pair<service_rollout::OrderKey, service_rollout::AnswerObservation>;
+  using AttributedObservation =
+      std::pair<service_rollout::OrderKey, service_rollout::AnswerObservation>;
 
-  /// @return what the dispatch tells; nothing where it tells nothing, no order is under way, or its
-  /// stream broke off, which takeBroken() tells.
+  /// @return the observation; empty if the dispatch is no evidence, if no order is in progress, or
+  /// if its stream broke, which takeBrokenStreams() reports.
   std::optional<service_rollout::AnswerObservation> observe(const DispatchReport& report,
                                                             MonotonicTime now);
-  /// Streams that broke off a while ago on servers that are still up. A crash breaks streams as
-  /// well, but is no fault of the version; it shows by then.
-  std::vector<Told> takeBroken(const std::function<bool(const BackendId&)>& isUp,
-                               MonotonicTime now);
+  /// Returns the streams that broke at least kCrashDetectionTime ago on servers that are still up.
+  /// A crash also breaks streams but is not a fault of the version; by that time it has been
+  /// detected.
+  std::vector<AttributedObservation> takeBrokenStreams(
+      const std::function<bool(const BackendId&)>& isUp, MonotonicTime now);
 
-  /// The server started again: what broke off there was its crash, though it is up now.
+  /// The server has restarted: its broken streams are attributed to the crash, although it is up
+  /// again.
   void onRestarted(const BackendId& server);
 
-  /// Broken streams of one server count at most once in this time, so that what strikes a server as
-  /// a whole counts once.
-  static constexpr Milliseconds kBreakTerm{1000};
-  /// So long after a break a crash of the server shows: the next connect to it fails, or another
-  /// node's report, which come every 250 ms, says so.
-  static constexpr Milliseconds kBreakSettle{600};
-  /// Answers until the usual time is known.
-  static constexpr std::size_t kLeastAnswers = 5;
-  /// Work below this is not measured against its expected time: ways and timers would outweigh it.
-  static constexpr double kLeastExpectedMs = 10;
+  /// BrokenStream streams of one server count at most once in this interval, so that an event that
+  /// affects the whole server counts once.
+  static constexpr Milliseconds kBrokenStreamInterval{1000};
+  /// Time in which a crash of the server is detected after a broken stream: the next connect to it
+  /// fails, or the report of another node, sent every 250 ms, says so.
+  static constexpr Milliseconds kCrashDetectionTime{600};
+  /// Number of answers after which the baseline is known.
+  static constexpr std::size_t kMinBaselineAnswers = 5;
+  /// Expected times below this are raised to it, because network latency and timer resolution would
+  /// outweigh the work.
+  static constexpr double kMinExpectedStartMs = 10;
 
  private:
-  /// Running mean of the stable version's answers.
-  struct Usual {
+  /// Running mean over the stable version's answers.
+  struct Baseline {
     double mean = 0;
     std::size_t answers = 0;
     void learn(double value);
     std::optional<double> ratioOf(std::optional<double> value) const;
   };
-  struct ServiceUsual {
-    Usual startMs;
-    Usual paceMs;
+  struct ServiceBaselines {
+    Baseline startMs;
+    Baseline paceMs;
   };
-  struct Broken {
+  struct BrokenStream {
     BackendId server;
     MonotonicTime at{};
-    Told told;
+    AttributedObservation observation;
   };
 
-  static void learn(const DispatchReport& report, ServiceUsual& usual);
-  void noteBroken(const DispatchReport& report, MonotonicTime now);
+  static void learn(const DispatchReport& report, ServiceBaselines& baselines);
+  void recordBrokenStream(const DispatchReport& report, MonotonicTime now);
 
-  std::map<std::string, ServiceUsual> usual_;
-  std::vector<Broken> broken_;
-  std::map<BackendId, MonotonicTime> lastBreak_;
+  std::map<std::string, ServiceBaselines> baselines_;
+  std::vector<BrokenStream> brokenStreams_;
+  std::map<BackendId, MonotonicTime> lastBrokenAt_;
 };
 
 }  // namespace calicodrift::forward
--- a/src/forward/answer_relay.cc
+++ b/src/forward/answer_relay.cc
@@ -8,7 +8,7 @@
 
 AnswerRelay::AnswerRelay(http::ResponseWriter& writer, std::optional<EventNumber> resumeAfter)
     : writer_(writer) {
-  cutter_.startAfter(resumeAfter);
+  splitter_.startAfter(resumeAfter);
 }
 
 awaitable<Result<void>> AnswerRelay::deliver(http::Response response) {
@@ -24,12 +24,13 @@
   co_return co_await writer_.startStream(std::move(head));
 }
 
-awaitable<Result<void>> AnswerRelay::take(std::string_view bytes) {
-  cutter_.feed(bytes);
-  const std::size_t before = cutter_.events();
-  const std::string events = cutter_.takeWholeEvents();
-  if (!cutter_.inOrder()) {
-    co_return fail(ErrorKind::kProtocolViolation, "the server's events are out of order");
+awaitable<Result<void>> AnswerRelay::relayBytes(std::string_view bytes) {
+  splitter_.feed(bytes);
+  const std::size_t before = splitter_.events();
+  const std::string events = splitter_.takeWholeEvents();
+  if (!splitter_.inOrder()) {
+    co_return fail(ErrorKind::kProtocolViolation,
+                   "the event numbers of the server's stream do not increase");
   }
   if (events.empty()) {
     co_return boost::outcome_v2::success();
@@ -42,7 +43,7 @@
   }
   lastEventTime_ = now;
   if (timing_.first) {
-    timing_.later += cutter_.events() - before;
+    timing_.later += splitter_.events() - before;
   }
   timing_.first = timing_.first.value_or(now);
   timing_.last = now;
@@ -50,7 +51,7 @@
 }
 
 awaitable<Result<void>> AnswerRelay::finish() {
-  const std::string rest = cutter_.rest();
+  const std::string rest = splitter_.rest();
   if (!rest.empty()) {
     Result<void> written = co_await writer_.writeChunk(rest);
     if (!written) {
@@ -61,9 +62,9 @@
 }
 
 void AnswerRelay::dropPartialEvent() {
-  EventCutter next;
-  next.startAfter(cutter_.lastEvent());
-  cutter_ = std::move(next);
+  EventSplitter next;
+  next.startAfter(splitter_.lastEvent());
+  splitter_ = std::move(next);
 }
 
 }  // namespace calicodrift::forward
--- a/src/forward/answer_relay.h
+++ b/src/forward/answer_relay.h
@@ -8,52 +8,54 @@
 
 namespace calicodrift::forward {
 
-/// When one server's events came.
+/// Arrival times of the events from one server.
 struct EventTiming {
   std::optional<MonotonicTime> first;
   MonotonicTime last{};
-  /// Those behind the ones that came first.
+  /// Number of events after those that arrived first.
   std::size_t later = 0;
 };
 
-/// The caller's side of one answer, over all servers that work on it. Bytes of a stream are passed
-/// on as whole events, in order and once each: what a broken server sent of an event is dropped,
-/// and the next server goes on behind the last whole one under the head of the first.
+/// The caller's side of one answer, across all servers that produce it. Bytes of a stream are
+/// passed on as whole events, in order and once each: the partial event of a server whose stream
+/// broke is dropped, and the next server continues after the last whole event, under the head of
+/// the first server's answer.
 class AnswerRelay {
  public:
-  /// @param resumeAfter last event that the caller has already.
+  /// @param resumeAfter last event that the caller already has.
   AnswerRelay(http::ResponseWriter& writer, std::optional<EventNumber> resumeAfter);
 
-  /// Whether the caller has got the head of a stream.
+  /// Whether the head of a stream was sent to the caller.
   bool begun() const { return begun_; }
-  /// Where another server would go on.
-  std::optional<EventNumber> lastEvent() const { return cutter_.lastEvent(); }
+  /// Last whole event; another server would resume after it.
+  std::optional<EventNumber> lastEvent() const { return splitter_.lastEvent(); }
   std::optional<MonotonicTime> firstEventTime() const { return firstEventTime_; }
-  /// The longest time between two pieces that were passed on, which is what a caller sees stand
-  /// still.
+  /// Longest time between two chunks that were passed on, which is the longest stall that the
+  /// caller sees.
   MonotonicTime::duration longestPause() const { return longestPause_; }
 
-  /// Of the server whose stream is relayed now.
+  /// Event times of the server whose stream is being relayed.
   const EventTiming& timing() const { return timing_; }
 
-  /// A whole answer. Fails with kCallerGone.
+  /// Sends a complete answer. Fails with kCallerGone.
   boost::asio::awaitable<Result<void>> deliver(http::Response response);
-  /// The head of a server's stream; passed on once. Its events' timing starts.
+  /// Starts relaying a server's stream: sends the head, unless one was sent before, and resets the
+  /// event timing.
   boost::asio::awaitable<Result<void>> begin(http::Response head);
-  /// Bytes of a server's stream. Fails with kCallerGone, or with kProtocolViolation where the
-  /// events don't follow those before.
-  boost::asio::awaitable<Result<void>> take(std::string_view bytes);
-  /// The server's stream is complete.
+  /// Relays bytes of a server's stream. Fails with kCallerGone, or with kProtocolViolation if the
+  /// event numbers don't follow the earlier ones.
+  boost::asio::awaitable<Result<void>> relayBytes(std::string_view bytes);
+  /// Ends the answer after the server's stream is complete.
   boost::asio::awaitable<Result<void>> finish();
-  /// A server's stream broke off: its part of an event is dropped.
+  /// Drops the incomplete event of a server whose stream broke.
   void dropPartialEvent();
-  /// No server completes the stream: the caller's connection is closed, so that the answer does not
-  /// look complete.
+  /// Closes the caller's connection when no server completes the stream, so that the answer does
+  /// not look complete.
   void abort() { writer_.abort(); }
 
  private:
   http::ResponseWriter& writer_;
-  EventCutter cutter_;
+  EventSplitter splitter_;
   EventTiming timing_;
   std::optional<MonotonicTime> firstEventTime_;
   MonotonicTime lastEventTime_{};
--- a/src/forward/cache_moves.cc
+++ b/src/forward/cache_moves.cc
@@ -5,10 +5,10 @@
 namespace calicodrift::forward {
 namespace {
 
-/// Common parts whose save is remembered; all are forgotten beyond.
-constexpr std::size_t kRememberedSaves = 16'384;
-/// Saves that wait to be told to other nodes; others are not told.
-constexpr std::size_t kMostUntold = 1024;
+/// Common prefixes whose save is remembered; beyond this number all are forgotten.
+constexpr std::size_t kMaxRememberedSaves = 16'384;
+/// Saves that wait to be reported to other nodes; further ones are not reported.
+constexpr std::size_t kMaxUnreportedSaves = 1024;
 
 }  // namespace
 
@@ -17,53 +17,54 @@
 }
 
 CacheMove CacheMoves::decide(const CacheMoveQuery& query, MonotonicTime now) const {
-  const bool tooShort = query.sharedKey == 0 || query.sharedTokens < settings_.leastTokens;
+  const bool tooShort = query.sharedKey == 0 || query.sharedTokens < settings_.minTokens;
   if (!settings_.moves || tooShort) {
     return {};
   }
-  const Save* known = saveOf(query.sharedKey, query.store);
+  const Save* known = findSave(query.sharedKey, query.store);
   const bool proven = now - query.weightsProvenAt <= settings_.weightsProofAge;
   if (!query.outdatedSince && proven) {
-    // A server may have pushed the part out; a store that got it a short time ago still has it.
+    // A server may have evicted the prefix; a store that received it recently still has it.
     const bool fromHolder =
         known == nullptr && query.holder && query.holderWeights == query.serverWeights;
-    const bool lies = known != nullptr && now - known->lastAt < settings_.saveTerm;
-    const bool save = settings_.saves && !lies;
+    const bool inStore = known != nullptr && now - known->lastAt < settings_.resaveInterval;
+    const bool save = settings_.saves && !inStore;
     return {fromHolder ? query.holder : query.store, save ? query.store : std::nullopt};
   }
-  const MonotonicTime cleanUntil = query.outdatedSince.value_or(query.weightsProvenAt);
-  if (known != nullptr && known->firstAt < cleanUntil) {
+  const MonotonicTime validBefore = query.outdatedSince.value_or(query.weightsProvenAt);
+  if (known != nullptr && known->firstAt < validBefore) {
     return {query.store, std::nullopt};
   }
   return {};
 }
 
-const CacheMoves::Save* CacheMoves::saveOf(std::uint64_t sharedKey,
-                                           const std::optional<Endpoint>& store) const {
+const CacheMoves::Save* CacheMoves::findSave(std::uint64_t sharedKey,
+                                             const std::optional<Endpoint>& store) const {
   const auto found = saves_.find(sharedKey);
-  const bool there = found != saves_.end() && store && found->second.storeKey == storeKeyOf(*store);
-  return there ? &found->second : nullptr;
+  const bool matches =
+      found != saves_.end() && store && found->second.storeKey == storeKeyOf(*store);
+  return matches ? &found->second : nullptr;
 }
 
 void CacheMoves::onSaved(std::uint64_t sharedKey, const Endpoint& store, MonotonicTime now) {
   const fleet::SavedPart saved{sharedKey, storeKeyOf(store)};
   remember(saved, now);
-  if (untold_.size() < kMostUntold) {
-    untold_.push_back(saved);
+  if (unreportedSaves_.size() < kMaxUnreportedSaves) {
+    unreportedSaves_.push_back(saved);
   }
 }
 
 void CacheMoves::learnSaved(const std::vector<fleet::SavedPart>& saves, MonotonicTime now) {
   for (const fleet::SavedPart& saved : saves) {
-    const auto lost = lostAt_.find(saved.store);
-    if (lost == lostAt_.end() || now - lost->second >= settings_.mistrustTerm) {
+    const auto lost = storeLostAt_.find(saved.store);
+    if (lost == storeLostAt_.end() || now - lost->second >= settings_.distrustPeriod) {
       remember(saved, now);
     }
   }
 }
 
 void CacheMoves::remember(const fleet::SavedPart& saved, MonotonicTime now) {
-  if (saves_.size() >= kRememberedSaves) {
+  if (saves_.size() >= kMaxRememberedSaves) {
     saves_.clear();
   }
   const auto [known, added] = saves_.try_emplace(saved.part, Save{saved.store, now, now});
@@ -75,7 +76,7 @@
 
 void CacheMoves::onStoreLost(const Endpoint& store, MonotonicTime now) {
   const std::uint64_t storeKey = storeKeyOf(store);
-  lostAt_[storeKey] = now;
+  storeLostAt_[storeKey] = now;
   std::erase_if(saves_, [storeKey](const auto& save) { return save.second.storeKey == storeKey; });
 }
 
--- a/src/forward/cache_moves.h
+++ b/src/forward/cache_moves.h
@@ -15,39 +15,39 @@
 namespace calicodrift::forward {
 
 struct CacheMoveSettings {
-  /// A view of the named weights that is older may miss that a roll-out has begun.
+  /// A view of the named weights older than this may miss that a roll-out has begun.
   Milliseconds weightsProofAge{700};
-  /// Common parts below this are read as fast as they are moved, and their saves would fill the
-  /// store's link.
-  std::size_t leastTokens = 512;
-  /// A part that is known to lie in the store is saved again only after this, as it may have been
-  /// pushed out. Each save also brings the request's own part there, which nobody will fetch.
-  Milliseconds saveTerm{60'000};
-  /// After a store was lost, what others say of it may be from before.
-  Milliseconds mistrustTerm{3000};
-  /// Whether anything is moved at all, and saved.
+  /// Shorter common prefixes are prefilled as fast as they are transferred, and saving them would
+  /// saturate the store's link.
+  std::size_t minTokens = 512;
+  /// A prefix known to be in the store is saved again only after this time, because it may have
+  /// been evicted. Each save also uploads the request's own part, which no other request fetches.
+  Milliseconds resaveInterval{60'000};
+  /// For this time after a store was lost, reports of other nodes about it may predate the loss.
+  Milliseconds distrustPeriod{3000};
+  /// Whether cache is fetched at all, and whether it is saved to the store.
   bool moves = true;
   bool saves = true;
 };
 
-/// What decides about moves for one dispatch.
+/// Input of the cache transfer decision for one dispatch.
 struct CacheMoveQuery {
   WeightsVersion serverWeights;
-  /// Since when newer weights than the server's are known; nothing where it has the newest.
+  /// When newer weights than the server's became known; empty if the server has the newest.
   std::optional<MonotonicTime> outdatedSince;
-  /// No newer weights were named before this time for certain.
+  /// Until this time it is certain that no newer weights were named.
   MonotonicTime weightsProvenAt{};
-  /// A server that is believed to hold the common part, with its weights.
+  /// A server that is believed to hold the common prefix, and its weights.
   std::optional<Endpoint> holder;
   WeightsVersion holderWeights;
-  /// The store of kept cache for the common part, if one answers.
+  /// The cache store responsible for the common prefix, if one responds.
   std::optional<Endpoint> store;
-  /// Names the common part and its cache scope; 0 where no other request may share any part.
+  /// Identifies the common prefix and its cache scope; 0 if no other request may share any part.
   std::uint64_t sharedKey = 0;
   std::size_t sharedTokens = 0;
 };
 
-/// Names a store of kept cache between nodes.
+/// Returns the hash that identifies a cache store between nodes.
 std::uint64_t storeKeyOf(const Endpoint& store);
 
 struct CacheMove {
@@ -55,28 +55,30 @@
   std::optional<Endpoint> saveTo;
 };
 
-/// Decides which cache is moved between model servers and the store of kept cache.
+/// Decides which cache is transferred between model servers and the cache store.
 ///
-/// Invariant: no cache is fetched that other weights than the request's may have made. Cache is
-/// found only under a scope that names the weights, and what a server makes under a scope could be
-/// of other weights only while it loads newer ones, after these were named. So
-/// - servers' cache is fetched, and cache is saved, only while no newer weights can have been named
-///   unseen; orders to load wait longer than that (WeightsLoaderSettings::settleTime);
-/// - the store's cache is fetched after that too, where this node knows it to have been saved
-/// before
-///   newer weights were named: the store keeps a part as it was first made.
+/// Invariant: no cache is fetched that weights other than the request's may have produced. Cache is
+/// found only under a scope that names the weights, and a server can produce cache under a scope
+/// with other weights only while it loads newer ones, after these were named. Therefore:
+/// - cache is fetched from servers, and saved, only while no newer weights can have been named
+///   without this node knowing; load orders wait longer than that
+///   (WeightsLoaderSettings::settleTime);
+/// - cache is fetched from the store after that too if this node knows that it was saved before
+///   newer weights were named, because the store keeps the first version of each part.
 class CacheMoves {
  public:
   explicit CacheMoves(CacheMoveSettings settings) : settings_(settings) {}
 
   CacheMove decide(const CacheMoveQuery& query, MonotonicTime now) const;
-  /// A request that named the store to save to was answered in whole: its common part lies there.
+  /// Records that a request with this save target was answered completely, so the store holds its
+  /// common prefix.
   void onSaved(std::uint64_t sharedKey, const Endpoint& store, MonotonicTime now);
-  /// Other nodes' requests did so, a short time ago.
+  /// Records saves of other nodes' requests that were completed a short time ago.
   void learnSaved(const std::vector<fleet::SavedPart>& saves, MonotonicTime now);
-  /// What this node's requests have saved since the last call.
-  std::vector<fleet::SavedPart> takeSaves() { return std::exchange(untold_, {}); }
-  /// The store may have restarted empty: what it gets from now on is kept as first made anew.
+  /// Returns and clears the saves of this node's requests since the last call.
+  std::vector<fleet::SavedPart> takeSaves() { return std::exchange(unreportedSaves_, {}); }
+  /// Forgets the saves of a store that may have restarted empty: it then keeps the first version it
+  /// receives after the restart.
   void onStoreLost(const Endpoint& store, MonotonicTime now);
 
  private:
@@ -86,14 +88,14 @@
     MonotonicTime firstAt{};
     MonotonicTime lastAt{};
   };
-  /// Null where the part is not known to lie in this store.
-  const Save* saveOf(std::uint64_t sharedKey, const std::optional<Endpoint>& store) const;
+  /// Returns null if the part is not known to be in this store.
+  const Save* findSave(std::uint64_t sharedKey, const std::optional<Endpoint>& store) const;
   void remember(const fleet::SavedPart& saved, MonotonicTime now);
 
-  /// Where and when each common part was first known to be saved.
+  /// The store that holds each common prefix, and when the save was first known.
   std::unordered_map<std::uint64_t, Save> saves_;
-  std::unordered_map<std::uint64_t, MonotonicTime> lostAt_;
-  std::vector<fleet::SavedPart> untold_;
+  std::unordered_map<std::uint64_t, MonotonicTime> storeLostAt_;
+  std::vector<fleet::SavedPart> unreportedSaves_;
 };
 
 }  // namespace calicodrift::forward
--- a/src/forward/cache_scope.h
+++ b/src/forward/cache_scope.h
@@ -7,11 +7,11 @@
 
 namespace calicodrift::forward {
 
-/// Names the cached prompt parts that a request may use at a server. It holds the weights version,
-/// and the tenant where it is isolated: requests with different scopes never share cache.
+/// Identifies the cached prompt parts that a request may use on a server. Contains the weights
+/// version, and the tenant if it is isolated: requests with different scopes never share cache.
 std::string cacheScope(const Grant& grant, WeightsVersion weights);
 
-/// Names the prompt's common part under a cache scope; 0 where it has none.
+/// Identifies the prompt's common prefix within a cache scope; 0 if the prompt has none.
 std::uint64_t sharedKeyOf(const routing::RouteRequest& request, const std::string& scope);
 
 }  // namespace calicodrift::forward
--- a/src/forward/crash_check.cc
+++ b/src/forward/crash_check.cc
@@ -13,29 +13,29 @@
                        const ServerProtocol& protocol)
     : executor_(std::move(executor)), calls_(calls), protocol_(protocol) {}
 
-awaitable<bool> CrashCheck::hasEnded(fleet::Server server) {
-  const Run run{server.id, fleet::incarnationOf(server)};
-  std::shared_ptr<Question>& known = questions_[run];
+awaitable<bool> CrashCheck::processHasEnded(fleet::Server server) {
+  const RunKey run{server.id, fleet::incarnationOf(server)};
+  std::shared_ptr<Probe>& known = probes_[run];
   if (!known) {
-    known = std::make_shared<Question>(executor_);
+    known = std::make_shared<Probe>(executor_);
     known->answered.expires_at(asio::steady_timer::time_point::max());
-    asio::co_spawn(executor_, ask(std::move(server), known), asio::detached);
+    asio::co_spawn(executor_, runProbe(std::move(server), known), asio::detached);
   }
-  const std::shared_ptr<Question> question = known;
-  if (!question->ended) {
-    co_await question->answered.async_wait(asio::as_tuple(asio::use_awaitable));
+  const std::shared_ptr<Probe> probe = known;
+  if (!probe->ended) {
+    co_await probe->answered.async_wait(asio::as_tuple(asio::use_awaitable));
   }
-  co_return question->ended.value_or(false);
+  co_return probe->ended.value_or(false);
 }
 
-awaitable<void> CrashCheck::ask(fleet::Server server, std::shared_ptr<Question> question) {
-  const Run run{server.id, fleet::incarnationOf(server)};
-  question->ended = co_await probe(std::move(server));
-  questions_.erase(run);
-  question->answered.cancel();
+awaitable<void> CrashCheck::runProbe(fleet::Server server, std::shared_ptr<Probe> probe) {
+  const RunKey run{server.id, fleet::incarnationOf(server)};
+  probe->ended = co_await checkReport(std::move(server));
+  probes_.erase(run);
+  probe->answered.cancel();
 }
 
-awaitable<bool> CrashCheck::probe(fleet::Server server) {
+awaitable<bool> CrashCheck::checkReport(fleet::Server server) {
   http::ExchangeOptions options;
   options.connection = http::ConnectionUse::kFresh;
   options.connectTimeout = kAnswerTimeout;
@@ -52,7 +52,7 @@
     co_return true;
   }
   if (!server.started) {
-    // Where the list tells no start, a report that does says nothing of another run.
+    // If the list contains no start, a report that does is no proof of another run.
     co_return false;
   }
   const Result<ServerReport> report = protocol_.readReport(answer.value());
--- a/src/forward/crash_check.h
+++ b/src/forward/crash_check.h
@@ -13,40 +13,41 @@
 
 namespace calicodrift::forward {
 
-/// Finds out whether a server's process has ended, after an answer of it broke off. Of an answer
-/// that was lost, a connection that was reset and a garbled stream it says no.
+/// Determines whether a server's process has ended after one of its answers broke off. A lost
+/// answer, a reset connection or a malformed stream alone does not count as an ended process.
 ///
 /// The server is asked for its report over a new connection: a refused connection, another server
-/// at the address or a later run prove the end. Silence proves nothing, as the path may be cut. All
-/// that ask about one run at a time share one question, so that an end costs a node one call.
+/// at the address or a later run proves that the process has ended. A timeout proves nothing,
+/// because the network path may be interrupted. Concurrent checks of one run share one probe, so
+/// that the end of a process costs a node one call.
 class CrashCheck {
  public:
   CrashCheck(boost::asio::any_io_executor executor, ServerCalls& calls,
              const ServerProtocol& protocol);
 
-  /// Takes one way there and back on a path that works, kAnswerTimeout at most.
-  boost::asio::awaitable<bool> hasEnded(fleet::Server server);
+  /// Takes one round trip if the network path works, and at most kAnswerTimeout.
+  boost::asio::awaitable<bool> processHasEnded(fleet::Server server);
 
-  /// Many ways there and back, over regions too: 100 ms between regions are long.
+  /// Several round trips, also between regions, where 100 ms is a long one.
   static constexpr Milliseconds kAnswerTimeout{200};
 
  private:
-  using Run = std::pair<BackendId, Incarnation>;
-  struct Question {
-    explicit Question(const boost::asio::any_io_executor& executor) : answered(executor) {}
+  using RunKey = std::pair<BackendId, Incarnation>;
+  struct Probe {
+    explicit Probe(const boost::asio::any_io_executor& executor) : answered(executor) {}
 
     std::optional<bool> ended;
-    /// Cancelled when the answer is there.
+    /// Cancelled when the result is available.
     boost::asio::steady_timer answered;
   };
 
-  boost::asio::awaitable<void> ask(fleet::Server server, std::shared_ptr<Question> question);
-  boost::asio::awaitable<bool> probe(fleet::Server server);
+  boost::asio::awaitable<void> runProbe(fleet::Server server, std::shared_ptr<Probe> probe);
+  boost::asio::awaitable<bool> checkReport(fleet::Server server);
 
   boost::asio::any_io_executor executor_;
   ServerCalls& calls_;
   const ServerProtocol& protocol_;
-  std::map<Run, std::shared_ptr<Question>> questions_;
+  std::map<RunKey, std::shared_ptr<Probe>> probes_;
 };
 
 }  // namespace calicodrift::forward
--- a/src/forward/event_stream.cc
+++ b/src/forward/event_stream.cc
@@ -10,7 +10,7 @@
 constexpr std::string_view kEventEndCrLf = "\r\n\r\n";
 constexpr std::string_view kIdField = "id:";
 
-/// Position behind the last event that is whole; 0 if there is none.
+/// Position after the last whole event; 0 if there is none.
 std::size_t endOfWholeEvents(std::string_view text) {
   std::size_t end = 0;
   for (const std::string_view mark : {kEventEnd, kEventEndCrLf}) {
@@ -40,18 +40,18 @@
 
 }  // namespace
 
-std::string EventCutter::takeWholeEvents() {
+std::string EventSplitter::takeWholeEvents() {
   const std::size_t end = endOfWholeEvents(buffer_);
   if (end == 0) {
     return {};
   }
   std::string events = buffer_.substr(0, end);
   buffer_.erase(0, end);
-  noteNumbers(events);
+  recordEventNumbers(events);
   return events;
 }
 
-void EventCutter::noteNumbers(std::string_view events) {
+void EventSplitter::recordEventNumbers(std::string_view events) {
   while (!events.empty()) {
     const std::size_t end = std::min(events.find('\n'), events.size() - 1);
     const std::string_view line = events.substr(0, end);
--- a/src/forward/forward_job.h
+++ b/src/forward/forward_job.h
@@ -17,8 +17,8 @@
 // Internal to src/forward: only forwarder*.cc include this file.
 namespace calicodrift::forward {
 
-/// One request over its dispatches. Shared with the timer and the caller's connection, which may
-/// end it from outside.
+/// One request across its dispatches. Shared with the timer and the caller's connection, either of
+/// which may end it.
 struct Forwarder::Job {
   Job(Request givenRequest, Grant givenGrant, http::ResponseWriter& writer,
       const boost::asio::any_io_executor& executor)
@@ -34,24 +34,24 @@
     end = request.received + allowed;
   }
 
-  /// Whether another server may go on where this one fails.
-  bool mayMoveOn() const {
+  /// Whether the request may go to another server if the current dispatch fails.
+  bool mayFailOver() const {
     return grant.route->idempotent() && attempts.mayHaveRun + 1 < grant.route->maxAttempts;
   }
   service_rollout::RouteKey routeKey() const {
     return service_rollout::RouteKey(hashBytes(grant.route->name));
   }
   bool streaming() const { return grant.route->kind == routes::RouteKind::kStreaming; }
-  /// Reads the body at the first call only.
+  /// Hashes the body on the first call only.
   const quarantine::RequestFingerprint& fingerprint() {
-    if (!knownFingerprint) {
+    if (!cachedFingerprint) {
       const TenantId tenant = grant.tenant != nullptr ? grant.tenant->id : TenantId();
-      knownFingerprint = quarantine::fingerprintOf({tenant, request.message.method, request.host,
-                                                    request.message.target, request.message.body});
+      cachedFingerprint = quarantine::fingerprintOf({tenant, request.message.method, request.host,
+                                                     request.message.target, request.message.body});
     }
-    return *knownFingerprint;
+    return *cachedFingerprint;
   }
-  /// Ends the dispatch that is under way.
+  /// Cancels the dispatch in progress.
   void cancelAttempt() {
     if (attempt) {
       attempt->cancel();
@@ -70,42 +70,42 @@
   bool expired = false;
   AttemptCount attempts;
   std::shared_ptr<ServerAttempt> attempt;
-  /// A server's own failure, delivered where no other server does better.
+  /// A server's 5xx answer, delivered if no other server succeeds.
   std::optional<http::Response> keptFailure;
-  std::optional<quarantine::RequestFingerprint> knownFingerprint;
-  /// Leave for the dispatch that comes or is under way.
+  std::optional<quarantine::RequestFingerprint> cachedFingerprint;
+  /// Quarantine permission for the next dispatch or the one in progress.
   quarantine::Trial trial;
-  /// The last dispatch's server answered with a failure of its own, which was kept.
-  bool ranToItsEnd = false;
+  /// Whether the last dispatch ended with a server's 5xx answer, which was kept.
+  bool ranToServerError = false;
   BackendId lastServer;
-  /// For how long newer weights had been named when the last server began; nothing where it had the
+  /// How long newer weights had been named when the last server began; empty if that server had the
   /// newest.
-  std::optional<Milliseconds> begunOutdatedFor;
+  std::optional<Milliseconds> outdatedAtStart;
   unsigned status = 0;
 };
 
-/// A server that was chosen for one dispatch, and what was known of it then.
-struct Forwarder::Chosen {
+/// The server chosen for one dispatch, and its state at that time.
+struct Forwarder::ChosenServer {
   fleet::Server server;
   routing::Candidate candidate;
-  /// Another server that is believed to hold the prompt's common part.
+  /// Another server that is believed to hold the prompt's common prefix.
   std::optional<routing::Candidate> holder;
   std::string_view reason;
-  /// How many it was chosen from.
+  /// Number of servers it was chosen from.
   std::size_t candidates = 0;
-  /// Prompt tokens of the request to prefill there.
-  std::size_t uncached = 0;
+  /// Prompt tokens of the request to prefill on this server.
+  std::size_t uncachedTokens = 0;
   service_rollout::Track track = service_rollout::Track::kStable;
-  /// Under way for its service; 0: none.
+  /// Rollout order of the service in progress; 0 if there is none.
   service_rollout::OrderKey order;
-  bool tellsSpeed = false;
-  /// A unit of the server's limit was taken for the dispatch.
-  bool tookUnit = false;
-  /// Servers that were chosen before it and had no unit.
-  std::size_t atLimits = 0;
+  bool latencyRepresentative = false;
+  /// Whether the dispatch consumed a unit of the server's request limit.
+  bool usedLimitUnit = false;
+  /// Servers that were chosen before this one and had no unit left.
+  std::size_t atLimitCount = 0;
 
-  /// Prompt tokens that wait there with the request's own.
-  std::size_t waitingTokens() const { return routing::prefillTokensAt(candidate) + uncached; }
+  /// Prompt tokens queued on the server, including the request's own.
+  std::size_t waitingTokens() const { return routing::prefillTokensAt(candidate) + uncachedTokens; }
 };
 
 }  // namespace calicodrift::forward
--- a/src/forward/forward_settings.h
+++ b/src/forward/forward_settings.h
@@ -8,39 +8,40 @@
 
 namespace calicodrift::forward {
 
-/// How requests are sent to servers.
+/// Settings for sending requests to servers.
 struct ForwardSettings {
-  /// Name of the routing policy for requests with a model, and for others.
+  /// Names of the routing policies for requests with a model and for all others.
   std::string modelPolicy;
   std::string servicePolicy;
   Milliseconds connectTimeout{300};
-  /// Written bytes that a server doesn't acknowledge for so long break the connection.
+  /// A connection is closed if the server doesn't acknowledge sent bytes for this long.
   Milliseconds unacknowledgedTimeout{1000};
-  /// An idempotent request moves on where nothing of its answer has come within so many times its
-  /// target latency.
+  /// An idempotent request fails over if no part of its answer has arrived within this multiple of
+  /// its target latency.
   double patienceTargets = 3.5;
-  /// Longest pause between two events of a stream that can go on elsewhere.
+  /// Longest pause between two events of a stream that another server can resume.
   Milliseconds eventTimeout{1500};
-  /// A server that refused gets nothing for so long.
+  /// A server that refused a request receives none for this long.
   Milliseconds refusalPause{250};
-  /// The same where newer weights than its own were named, as it may be loading them; it is used
-  /// again as soon as it shows them.
+  /// The same if newer weights than the server's were named, because it may be loading them; it is
+  /// used again as soon as it reports them.
   Milliseconds loadPause{1000};
-  /// When a refused caller should come back.
+  /// Value of Retry-After for refused callers.
   Milliseconds retryAfter{300};
-  /// No request begins on older weights so long after newer ones were named.
+  /// No request begins on outdated weights later than this after newer ones were named.
   Milliseconds weightsBound{8000};
-  /// Second dispatches that one request earns, and those of a quiet node a second and at once.
+  /// Retry budget: retries earned per request, earned per second by an idle node, and the burst of
+  /// the latter.
   double retryFraction = 0.15;
   double retryFloorPerSecond = 0.3;
   double retryFloorBurst = 3;
   /// Whether a failed request may go to another server at all.
   bool retries = true;
-  /// Whether a request leaves a server that is silent for longer than its patience.
+  /// Whether a request fails over from a server that exceeds its patience.
   bool movesOn = true;
-  /// Whether requests that no server can begin with in time are refused.
+  /// Whether requests that no server can begin in time are refused.
   bool admit = true;
-  /// Whether the speed of servers is learnt.
+  /// Whether the prefill rates of servers are learnt.
   bool learnRates = true;
   CacheMoveSettings cacheMoves;
   QueueAdmissionSettings admission;
--- a/src/forward/forwarder.cc
+++ b/src/forward/forwarder.cc
@@ -23,14 +23,14 @@
   return "unsafe";
 }
 
-/// Whether the dispatch that failed so was not sent, or has not run for certain.
-bool neverRan(ErrorKind failure) {
+/// Whether a dispatch with this failure was not sent, or certainly has not run.
+bool certainlyNotRun(ErrorKind failure) {
   return provesNotRun(failure) || failure == ErrorKind::kNoBackend ||
          failure == ErrorKind::kOverloaded;
 }
 
-/// What the caller is told after the last dispatch: a promise that the request has not run only
-/// where that holds for all dispatches together.
+/// Error reported to the caller after the last dispatch: it states that the request has not run
+/// only if that holds for all dispatches.
 ErrorKind finalKind(ErrorKind last, const AttemptCount& attempts) {
   if (attempts.mayHaveRun > 0) {
     return errorRow(last).run == RunStatement::kNo ? ErrorKind::kOutcomeUnknown : last;
@@ -92,7 +92,7 @@
 awaitable<void> Forwarder::serve(std::shared_ptr<Job> job) {
   job->service = weights_.choose(*job->grant.route);
   context_.metrics.countRequest(nameOf(job->grant.route->kind));
-  budgetOf(job->service).onRequest(monotonicNow());
+  retryBudgetOf(job->service).onRequest(monotonicNow());
   job->timer.expires_at(job->end);
   job->timer.async_wait([job](boost::system::error_code code) {
     if (!code) {
@@ -108,9 +108,9 @@
   Result<void> done = co_await dispatchUntilDone(*job);
   job->timer.cancel();
   job->attempt.reset();
-  const bool left = !done && done.error().kind == ErrorKind::kCallerGone;
-  if (!done && !left && job->keptFailure && !job->relay.begun()) {
-    // No other server did better: the failure of the server that ran it is the answer.
+  const bool callerGone = !done && done.error().kind == ErrorKind::kCallerGone;
+  if (!done && !callerGone && job->keptFailure && !job->relay.begun()) {
+    // No other server succeeded, so the 5xx answer of the server that ran the request is delivered.
     job->status = job->keptFailure->status;
     done = co_await job->relay.deliver(std::move(*job->keptFailure));
   }
@@ -118,22 +118,22 @@
     co_await answerError(*job, done.error());
   }
   job->writer.onCallerGone(nullptr);
-  tellAnswer(*job, done.has_value());
+  reportAnswer(*job, done.has_value());
 }
 
-void Forwarder::tellAnswer(const Job& job, bool done) const {
+void Forwarder::reportAnswer(const Job& job, bool done) const {
   constexpr double kMsPerSecond = 1000;
   const auto whole =
       std::chrono::duration_cast<Milliseconds>(monotonicNow() - job.request.received);
   context_.metrics.countAnswer(done ? job.status : 0);
-  context_.metrics.observeWhole(toMilliseconds(whole) / kMsPerSecond);
+  context_.metrics.observeAnswerTime(toMilliseconds(whole) / kMsPerSecond);
   AnswerFacts facts{
-      job.request.id,      job.status, job.lastServer, job.attempts.sent, whole, {}, {},
-      job.begunOutdatedFor};
+      job.request.id,     job.status, job.lastServer, job.attempts.sent, whole, {}, {},
+      job.outdatedAtStart};
   if (const auto first = job.relay.firstEventTime()) {
-    facts.firstPiece = std::chrono::duration_cast<Milliseconds>(*first - job.request.received);
+    facts.firstChunk = std::chrono::duration_cast<Milliseconds>(*first - job.request.received);
     facts.longestPause = std::chrono::duration_cast<Milliseconds>(job.relay.longestPause());
-    context_.metrics.observeFirstByte(toMilliseconds(*facts.firstPiece) / kMsPerSecond);
+    context_.metrics.observeFirstByte(toMilliseconds(*facts.firstChunk) / kMsPerSecond);
     context_.metrics.observePause(toMilliseconds(facts.longestPause) / kMsPerSecond);
   }
   if (done) {
@@ -149,26 +149,26 @@
       allowed = co_await claimDispatch(job);
     }
     if (!allowed) {
-      // A second dispatch that is not allowed leaves the failure of the first.
+      // If another dispatch is not allowed, the failure of the previous one is reported.
       co_return job.attempts.sent == 0 ? allowed : outcome;
     }
     if (job.writer.callerGone()) {
       job.limitUse.giveBack(context_.quota);
-      co_return fail(ErrorKind::kCallerGone, "the caller left");
+      co_return fail(ErrorKind::kCallerGone, "the caller disconnected");
     }
     outcome = co_await dispatchOnce(job);
     if (outcome) {
       co_return outcome;
     }
     const ErrorKind failure = outcome.error().kind;
-    if (neverRan(failure)) {
+    if (certainlyNotRun(failure)) {
       job.limitUse.giveBack(context_.quota);
     }
     if (job.writer.callerGone()) {
-      co_return fail(ErrorKind::kCallerGone, "the caller left");
+      co_return fail(ErrorKind::kCallerGone, "the caller disconnected");
     }
     if (job.expired) {
-      co_return fail(ErrorKind::kDeadlineExceeded, "the time of the request is over");
+      co_return fail(ErrorKind::kDeadlineExceeded, "the deadline of the request has passed");
     }
     if (!takeRetry(job, failure)) {
       co_return outcome;
@@ -188,7 +188,7 @@
   }
   const auto left = std::chrono::ceil<Milliseconds>(job.end - monotonicNow());
   Result<quarantine::Trial> trial = co_await context_.quarantine.admit(
-      fingerprint, choicesForTrial(job), std::max(left, Milliseconds(1)));
+      fingerprint, trialServerRuns(job), std::max(left, Milliseconds(1)));
   if (!trial) {
     co_return trial.error();
   }
@@ -204,8 +204,8 @@
   const MonotonicTime now = monotonicNow();
   Result<void> sendable = gate_.mayBeSent(job.request, job.grant, context_.configuration(), now);
   if (sendable && now >= job.end) {
-    // The body, or the claim, took all of the time.
-    sendable = fail(ErrorKind::kDeadlineExceeded, "the time of the request is over");
+    // Receiving the body, or the claim, took all of the time.
+    sendable = fail(ErrorKind::kDeadlineExceeded, "the deadline of the request has passed");
   }
   if (!sendable) {
     job.limitUse.giveBack(context_.quota);
@@ -217,15 +217,15 @@
   if (!settings_.retries) {
     return false;
   }
-  // A server that has just refused will not take the request a moment later.
-  if (failure == ErrorKind::kBackendRefused && !untriedServerLeft(job)) {
+  // A server that has just refused the request will most likely refuse it again.
+  if (failure == ErrorKind::kBackendRefused && !hasUntriedServer(job)) {
     return false;
   }
   const RetryDecision decision = mayRetry(*job.grant.route, failure, job.attempts);
   if (decision != RetryDecision::kBudgeted) {
     return decision == RetryDecision::kFree;
   }
-  const bool allowed = budgetOf(job.service).tryTake(monotonicNow());
+  const bool allowed = retryBudgetOf(job.service).tryTake(monotonicNow());
   if (!allowed) {
     context_.metrics.countRetryDenied();
   }
@@ -256,7 +256,7 @@
   return job.request.prompt.empty() ? *servicePolicy_ : *modelPolicy_;
 }
 
-limits::RetryBudget& Forwarder::budgetOf(const std::string& service) {
+limits::RetryBudget& Forwarder::retryBudgetOf(const std::string& service) {
   const auto found = budgets_.find(service);
   if (found != budgets_.end()) {
     return found->second;
--- a/src/forward/forwarder_choice.cc
+++ b/src/forward/forwarder_choice.cc
@@ -1,4 +1,4 @@
-// The choice of a server for one dispatch of a job.
+// Chooses a server for one dispatch of a job.
 
 #include <algorithm>
 
@@ -18,33 +18,34 @@
   return allowedServers(context_.rollouts, context_.pool, query, now);
 }
 
-std::vector<quarantine::ServerRun> Forwarder::choicesForTrial(Job& job) {
+std::vector<quarantine::ServerRun> Forwarder::trialServerRuns(Job& job) {
   const AllowedServers allowed = serversFor(job, false, monotonicNow());
   return allowed.set().empty() ? std::vector<quarantine::ServerRun>()
                                : trialChoices(job.routeRequest, allowed.set());
 }
 
-bool Forwarder::untriedServerLeft(const Job& job) {
-  return holdsUntried(serversFor(job, false, monotonicNow()).set(), job.routeRequest.avoided);
+bool Forwarder::hasUntriedServer(const Job& job) {
+  return containsUntried(serversFor(job, false, monotonicNow()).set(), job.routeRequest.avoided);
 }
 
-boost::asio::awaitable<Result<Forwarder::Chosen>> Forwarder::chooseWithinLimits(Job& job) {
+boost::asio::awaitable<Result<Forwarder::ChosenServer>> Forwarder::chooseWithinLimits(Job& job) {
   server_limits::ServerLimitNode& limits = context_.serverLimits;
-  Result<Chosen> choice = chooseServer(job, job.attempts.sent == 0, monotonicNow());
-  // Servers at their limit are avoided too, for this choice only: they stand behind those before.
+  Result<ChosenServer> choice = chooseServer(job, job.attempts.sent == 0, monotonicNow());
+  // Servers at their limit are also avoided, but only for this choice: they are appended to those
+  // tried before and removed at the end.
   std::vector<BackendId>& avoided = job.routeRequest.avoided;
   const auto triedBefore = static_cast<std::ptrdiff_t>(avoided.size());
   Milliseconds soonest = Milliseconds::max();
   while (choice && limits.any()) {
     const fleet::Server& server = choice.value().server;
     if (std::find(avoided.begin() + triedBefore, avoided.end(), server.id) != avoided.end()) {
-      choice = atLimits(job, soonest);
+      choice = atLimitsError(job, soonest);
       break;
     }
     const server_limits::UnitVerdict unit = co_await limits.take(server);
     if (unit.granted) {
-      choice.value().tookUnit = unit.tookUnit;
-      choice.value().atLimits = avoided.size() - static_cast<std::size_t>(triedBefore);
+      choice.value().usedLimitUnit = unit.tookUnit;
+      choice.value().atLimitCount = avoided.size() - static_cast<std::size_t>(triedBefore);
       break;
     }
     const MonotonicTime now = monotonicNow();
@@ -57,66 +58,68 @@
   co_return choice;
 }
 
-Error Forwarder::atLimits(const Job& job, Milliseconds wait) {
+Error Forwarder::atLimitsError(const Job& job, Milliseconds wait) {
   Error error = fail(ErrorKind::kOverloaded,
-                     "all servers of '" + job.service + "' are at the limits that they name");
+                     "all servers of '" + job.service + "' have reached their request limits");
   error.reason = "servers_at_limits";
   error.retryAfter = limits::spreadReturn(wait, random_);
   return error;
 }
 
-Error Forwarder::noServer(const Job& job, MonotonicTime now) {
+Error Forwarder::noServerError(const Job& job, MonotonicTime now) {
   const fleet::RestingServers resting =
       context_.pool.restingOf(job.service, job.request.model, now);
   if (!resting.firstEnd) {
     return fail(ErrorKind::kNoBackend, "no usable server of '" + job.service + "'");
   }
-  Error error = fail(ErrorKind::kOverloaded,
-                     "all servers of '" + job.service + "' have asked for no requests");
+  Error error =
+      fail(ErrorKind::kOverloaded, "all servers of '" + job.service + "' have asked for a rest");
   error.reason = "servers_at_rest";
   error.retryAfter =
       limits::spreadReturn(std::chrono::ceil<Milliseconds>(*resting.firstEnd - now), random_);
   return error;
 }
 
-Result<Forwarder::Chosen> Forwarder::chooseServer(Job& job, bool mayBeCanary, MonotonicTime now) {
+Result<Forwarder::ChosenServer> Forwarder::chooseServer(Job& job, bool mayBeCanary,
+                                                        MonotonicTime now) {
   const AllowedServers allowed = serversFor(job, mayBeCanary, now);
-  Result<Chosen> chosen = chooseFrom(job, allowed, now);
+  Result<ChosenServer> chosen = chooseFrom(job, allowed, now);
   if (!chosen && allowed.canary) {
-    // The few servers of the canary have no room; the stable version may have.
+    // The canary servers have no capacity; the stable version may have.
     chosen = chooseFrom(job, serversFor(job, false, now), now);
   }
-  if (!chosen && allowed.askedBudget && context_.rollouts.onRefused) {
+  if (!chosen && allowed.canaryBudgetAsked && context_.rollouts.onRefused) {
     context_.rollouts.onRefused(allowed.order, job.routeKey());
   }
   return chosen;
 }
 
-Result<Forwarder::Chosen> Forwarder::chooseFrom(Job& job, const AllowedServers& allowed,
-                                                MonotonicTime now) {
+Result<Forwarder::ChosenServer> Forwarder::chooseFrom(Job& job, const AllowedServers& allowed,
+                                                      MonotonicTime now) {
   const routing::CandidateSet& candidates = allowed.set();
   if (candidates.empty()) {
-    return noServer(job, now);
+    return noServerError(job, now);
   }
   const routing::Choice choice =
       job.trial.ofSuspect() ? chooseForTrial(job.routeRequest, candidates, job.trial.server())
                             : policyFor(job).choose(job.routeRequest, candidates, now);
-  Chosen chosen;
+  ChosenServer chosen;
   chosen.candidate = candidates[choice.index];
   if (const Result<void> admitted = admit(job, chosen.candidate, allowed.track, now); !admitted) {
     return admitted.error();
   }
   const fleet::Server* listed = context_.pool.find(chosen.candidate.id);
   if (listed == nullptr) {
-    return fail(ErrorKind::kNoBackend, "the chosen server has left");
+    return fail(ErrorKind::kNoBackend, "the chosen server was removed");
   }
   chosen.server = *listed;
   chosen.reason = choice.reason;
   chosen.candidates = candidates.size();
-  chosen.uncached = routing::uncachedTokens(job.routeRequest, choice.expectedCachedBlocks);
+  chosen.uncachedTokens = routing::uncachedTokens(job.routeRequest, choice.expectedCachedBlocks);
   chosen.track = allowed.track;
   chosen.order = allowed.order;
-  chosen.tellsSpeed = context_.rollouts.onAnswer && context_.pool.tellsSpeed(chosen.server.id, now);
+  chosen.latencyRepresentative =
+      context_.rollouts.onAnswer && context_.pool.tellsSpeed(chosen.server.id, now);
   if (choice.holder) {
     chosen.holder = candidates[*choice.holder];
   }
@@ -143,22 +146,22 @@
 
 Result<void> Forwarder::admit(const Job& job, const routing::Candidate& candidate, Track track,
                               MonotonicTime now) {
-  // What was sent once goes on: it has waited already, and its retry is in the budget.
+  // A retried request is not refused: it has already waited, and its retry is in the budget.
   if (!settings_.admit || job.request.model.value().empty() || job.attempts.sent > 0) {
     return boost::outcome_v2::success();
   }
   const double waitMs = routing::expectedWaitMs(candidate) + candidate.wayMs;
   const Milliseconds wait(static_cast<std::int64_t>(waitMs));
   const auto known = admissions_.try_emplace({job.service, track}, settings_.admission).first;
-  const std::optional<Milliseconds> comeBack =
+  const std::optional<Milliseconds> retryAfter =
       known->second.refuse(wait, job.grant.route->targetLatency, job.grant.priority(), now);
-  if (!comeBack) {
+  if (!retryAfter) {
     return boost::outcome_v2::success();
   }
   Error error =
       fail(ErrorKind::kOverloaded, "a request would wait for " + std::to_string(wait.count()) +
                                        " ms at the best server of '" + job.service + "'");
-  error.retryAfter = comeBack;
+  error.retryAfter = retryAfter;
   return error;
 }
 
--- a/src/forward/forwarder_dispatch.cc
+++ b/src/forward/forwarder_dispatch.cc
@@ -1,4 +1,4 @@
-// One dispatch of a job: what the chosen server is sent, and what is learnt from its answer.
+// Runs one dispatch of a job: builds it for the chosen server and evaluates the answer.
 
 #include <algorithm>
 #include <boost/asio.hpp>
@@ -12,7 +12,7 @@
 
 using boost::asio::awaitable;
 
-Milliseconds until(MonotonicTime end) {
+Milliseconds remainingTime(MonotonicTime end) {
   const auto left = std::chrono::duration_cast<Milliseconds>(end - monotonicNow());
   return std::max(left, Milliseconds(1));
 }
@@ -24,18 +24,18 @@
   return std::chrono::duration_cast<Milliseconds>(now - *since);
 }
 
-/// What the end of an attempt tells of its server's version. Attempts that the caller or this node
-/// ended are not asked about.
-DispatchEnd endOf(const ServerAttempt& attempt, const Result<void>& outcome, bool streaming,
-                  bool expired) {
-  constexpr unsigned kFirstServerFailure = 500;
+/// Classifies the end of an attempt as evidence about its server's version. Not called for attempts
+/// that the caller or this node ended.
+DispatchEnd classifyEnd(const ServerAttempt& attempt, const Result<void>& outcome, bool streaming,
+                        bool expired) {
+  constexpr unsigned kFirstServerErrorStatus = 500;
   if (!attempt.answered()) {
-    // A server that is up and lets the time run out is as bad as one that breaks off.
+    // A server that is up but exceeds the time limit counts like one whose stream breaks.
     const bool silent =
         !outcome && (expired || outcome.error().kind == ErrorKind::kDeadlineExceeded);
     return silent ? DispatchEnd::kBroken : DispatchEnd::kNoAnswer;
   }
-  if (attempt.status() >= kFirstServerFailure) {
+  if (attempt.status() >= kFirstServerErrorStatus) {
     return DispatchEnd::kFailed;
   }
   if (outcome) {
@@ -45,22 +45,22 @@
   return broken ? DispatchEnd::kBroken : DispatchEnd::kNoAnswer;
 }
 
-/// When the first event should come, by what routing goes by.
-/// @param sharedThere whether the prompt's common part is there or can be fetched, as routing
-/// presumes of each server that it chooses; it is read in full where it isn't.
+/// Expected time to the first event in milliseconds, from the data that routing uses.
+/// @param sharedPrefixAvailable whether the server has the prompt's common prefix or can fetch it,
+/// as routing assumes for each server that it chooses; otherwise the whole prompt is prefilled.
 double expectedStartMs(const routing::RouteRequest& request, const routing::Candidate& candidate,
-                       std::size_t uncached, bool sharedThere) {
-  /// The ways there and back, a new connection, and the first step of the engine.
+                       std::size_t uncachedTokens, bool sharedPrefixAvailable) {
+  /// Round trip, a new connection, and the engine's first step.
   constexpr double kBaseMs = 10;
-  const std::size_t tokens = sharedThere ? uncached : request.promptTokens;
+  const std::size_t tokens = sharedPrefixAvailable ? uncachedTokens : request.promptTokens;
   return routing::queueDelayMs(candidate) + routing::admissionDelayMs(request, candidate) +
          static_cast<double>(tokens) / candidate.prefillTokensPerMs + kBaseMs;
 }
 
-/// Mean time between the events of a stream; nothing for one of hardly any.
+/// Mean time between the events of a stream, in milliseconds; empty if it has too few of them.
 std::optional<double> paceMs(const EventTiming& timing) {
-  constexpr std::size_t kLeastEvents = 2;
-  if (!timing.first || timing.later < kLeastEvents) {
+  constexpr std::size_t kMinEvents = 2;
+  if (!timing.first || timing.later < kMinEvents) {
     return std::nullopt;
   }
   return toMilliseconds(timing.last - *timing.first) / static_cast<double>(timing.later);
@@ -73,11 +73,11 @@
   if (!knowsWeights(job)) {
     co_return fail(ErrorKind::kNoConfiguration, "the named weights have not been read yet");
   }
-  const Result<Chosen> choice = co_await chooseWithinLimits(job);
+  const Result<ChosenServer> choice = co_await chooseWithinLimits(job);
   if (!choice) {
     co_return choice.error();
   }
-  const Chosen& chosen = choice.value();
+  const ChosenServer& chosen = choice.value();
   const MonotonicTime now = monotonicNow();
   routing::Policy& policy = policyFor(job);
   job.routeRequest.avoided.push_back(chosen.server.id);
@@ -86,23 +86,23 @@
   context_.metrics.countDispatch(chosen.candidate.nearby);
   policy.onDispatched(job.routeRequest, chosen.candidate, now);
   fleet::LoadGuard load(context_.pool, chosen.server.id,
-                        {job.request.promptTokens + job.request.outputTokens, chosen.uncached,
+                        {job.request.promptTokens + job.request.outputTokens, chosen.uncachedTokens,
                          fleet::incarnationOf(chosen.server)});
   Dispatch dispatch = makeDispatch(job, chosen.server, chosen.candidate);
   const std::uint64_t sharedKey = sharedKeyOf(job.routeRequest, dispatch.cacheScope);
   if (!job.request.model.value().empty()) {
-    moveCache(job, chosen, sharedKey, dispatch);
+    planCacheTransfers(job, chosen, sharedKey, dispatch);
   }
   const WeightsView weights = context_.weights(job.request.model, chosen.candidate.weights);
   logDispatched({job.request, job.grant, dispatch, chosen.candidate, chosen.reason,
                  chosen.candidates, job.attempts.sent, chosen.waitingTokens(), sharedKey,
                  ageOf(weights.outdatedSince, now), weights.knownBy,
                  std::chrono::floor<Milliseconds>(now - startedAt_),
-                 ageOf(context_.pool.peerLoadsAt(), now), chosen.atLimits,
+                 ageOf(context_.pool.peerLoadsAt(), now), chosen.atLimitCount,
                  context_.pool.restingOf(job.service, job.request.model, now).count});
   Result<void> outcome = co_await runAttempt(job, dispatch, chosen, load);
   const auto underWay = std::chrono::floor<Milliseconds>(monotonicNow() - now);
-  co_await judgeRequest(job, chosen.server, underWay, outcome);
+  co_await reportToQuarantine(job, chosen.server, underWay, outcome);
   if (outcome) {
     policy.onCompleted(job.routeRequest, chosen.candidate, 0, monotonicNow());
     if (dispatch.saveCacheTo) {
@@ -115,7 +115,7 @@
 Dispatch Forwarder::makeDispatch(const Job& job, const fleet::Server& server,
                                  const routing::Candidate& candidate) const {
   Dispatch dispatch(server);
-  dispatch.timeLeft = until(job.end);
+  dispatch.timeLeft = remainingTime(job.end);
   dispatch.tenant = job.grant.tenant;
   dispatch.priority = job.grant.priority();
   dispatch.resumeAfter = job.relay.lastEvent();
@@ -127,10 +127,10 @@
 }
 
 awaitable<Result<void>> Forwarder::runAttempt(Job& job, const Dispatch& dispatch,
-                                              const Chosen& chosen, fleet::LoadGuard& load) {
+                                              const ChosenServer& chosen, fleet::LoadGuard& load) {
   const MonotonicTime sent = monotonicNow();
   const std::size_t waitingTokens = chosen.waitingTokens();
-  const double wayMs = context_.pool.wayMsTo(dispatch.server, sent);
+  const double roundTripMs = context_.pool.wayMsTo(dispatch.server, sent);
   std::optional<double> startMs;
   const bool counts = job.attempts.sent == 1 || chosen.track == fleet::Track::kCandidate;
   if (context_.rollouts.onSent && chosen.order != service_rollout::OrderKey() && counts) {
@@ -138,25 +138,25 @@
   }
   auto attempt = std::make_shared<ServerAttempt>(
       context_.calls, context_.servers, job.relay,
-      chosen.tookUnit ? CallPurpose::kRequestWithUnit : CallPurpose::kRequest);
+      chosen.usedLimitUnit ? CallPurpose::kRequestWithUnit : CallPurpose::kRequest);
   job.attempt = attempt;
   std::optional<WaitingDispatches::Guard> waiting;
   if (dispatch.weights) {
     waiting.emplace(waiting_, job.request.model, *dispatch.weights,
                     [attempt] { attempt->recall(); });
   }
-  attempt->onFirstBytes(
-      [this, &job, &load, &dispatch, &waiting, &startMs, waitingTokens, sent, wayMs] {
-        waiting.reset();
-        startMs = toMilliseconds(monotonicNow() - sent);
-        load.endPrefill();
-        noteBegin(job, dispatch);
-        if (settings_.learnRates && dispatch.weights && context_.pool.isCurrent(dispatch.server)) {
-          context_.pool.observeFirstToken(dispatch.server.id, waitingTokens, *startMs - wayMs);
-        }
-      });
-  const AttemptBounds bounds = boundsOf(job, wayMs);
-  const FailureUse failureUse = job.mayMoveOn() ? FailureUse::kKeep : FailureUse::kDeliver;
+  attempt->onFirstBytes([this, &job, &load, &dispatch, &waiting, &startMs, waitingTokens, sent,
+                         roundTripMs] {
+    waiting.reset();
+    startMs = toMilliseconds(monotonicNow() - sent);
+    load.endPrefill();
+    recordStart(job, dispatch);
+    if (settings_.learnRates && dispatch.weights && context_.pool.isCurrent(dispatch.server)) {
+      context_.pool.observeFirstToken(dispatch.server.id, waitingTokens, *startMs - roundTripMs);
+    }
+  });
+  const AttemptBounds bounds = boundsOf(job, roundTripMs);
+  const FailureUse failureUse = job.mayFailOver() ? FailureUse::kKeep : FailureUse::kDeliver;
   Result<void> outcome =
       co_await attempt->run(job.request, dispatch, bounds, job.streaming(), failureUse);
   attempt->onFirstBytes(nullptr);
@@ -164,63 +164,63 @@
   waiting.reset();
   const bool notSent = !outcome && (outcome.error().kind == ErrorKind::kConnectFailed ||
                                     outcome.error().kind == ErrorKind::kServerWithdrawn);
-  if (chosen.tookUnit && notSent) {
+  if (chosen.usedLimitUnit && notSent) {
     context_.serverLimits.giveBack(dispatch.server);
   }
   if (!outcome && outcome.error().kind == ErrorKind::kServerWithdrawn) {
-    // No server has seen it, so that the next one is its first.
+    // No server received the request, so the next dispatch counts as the first one.
     --job.attempts.sent;
   }
-  const std::optional<WeightsVersion> weights = noteEnd(job, dispatch, *attempt, outcome);
+  const std::optional<WeightsVersion> weights = recordAttemptEnd(job, dispatch, *attempt, outcome);
   if (const auto connected = attempt->connectTime()) {
     context_.pool.observeConnect(dispatch.server.id, toMilliseconds(*connected), monotonicNow());
   }
-  // A connection that this node closed itself says nothing of the server.
+  // A connection that this node closed is no evidence about the server.
   if (!attempt->recalled() && !job.writer.callerGone()) {
-    observe(job, dispatch, chosen, endOf(*attempt, outcome, job.streaming(), job.expired), startMs);
+    observe(job, dispatch, chosen, classifyEnd(*attempt, outcome, job.streaming(), job.expired),
+            startMs);
   }
   if (!job.expired && !attempt->recalled() && !job.writer.callerGone()) {
-    learnFrom(job, dispatch.server, outcome, weights);
+    updatePool(job, dispatch.server, outcome, weights);
   }
   co_return outcome;
 }
 
-std::optional<WeightsVersion> Forwarder::noteEnd(Job& job, const Dispatch& dispatch,
-                                                 ServerAttempt& attempt,
-                                                 Result<void>& outcome) const {
+std::optional<WeightsVersion> Forwarder::recordAttemptEnd(Job& job, const Dispatch& dispatch,
+                                                          ServerAttempt& attempt,
+                                                          Result<void>& outcome) const {
   job.status = attempt.status();
-  job.ranToItsEnd = attempt.keptFailure().has_value();
+  job.ranToServerError = attempt.keptFailure().has_value();
   if (attempt.keptFailure()) {
     job.keptFailure = std::move(attempt.keptFailure());
   }
   if (!outcome && attempt.recalled() && !provesNotRun(outcome.error().kind)) {
-    outcome =
-        fail(ErrorKind::kWeightsOutdated, "server '" + dispatch.server.id.value() +
-                                              "' had answered nothing when its weights ran out");
+    outcome = fail(ErrorKind::kWeightsOutdated, "server '" + dispatch.server.id.value() +
+                                                    "' had not answered when its weights expired");
   }
   if (!outcome && !provesNotRun(outcome.error().kind)) {
     ++job.attempts.mayHaveRun;
   }
   std::optional<WeightsVersion> weights = attempt.weights();
   if (!outcome && outcome.error().kind == ErrorKind::kFenced) {
-    weights = attempt.fromAnother() ? std::nullopt : weightsBehind(job, dispatch, weights);
+    weights = attempt.fromOtherServer() ? std::nullopt : inferServerWeights(job, dispatch, weights);
     if (weights) {
       outcome = fail(ErrorKind::kOtherWeights, outcome.error().detail + ": it has weights " +
                                                    std::to_string(weights->value()));
-      ++job.attempts.otherWeights;
+      ++job.attempts.weightsMismatches;
     }
   }
   return weights;
 }
 
-awaitable<void> Forwarder::judgeRequest(Job& job, const fleet::Server& server,
-                                        Milliseconds underWay, const Result<void>& outcome) {
+awaitable<void> Forwarder::reportToQuarantine(Job& job, const fleet::Server& server,
+                                              Milliseconds underWay, const Result<void>& outcome) {
   quarantine::QuarantineNode& quarantine = context_.quarantine;
-  if (outcome || job.ranToItsEnd) {
+  if (outcome || job.ranToServerError) {
     if (quarantine.remembersAny()) {
       quarantine.noteServed(job.fingerprint());
     }
-  } else if (co_await hasEndedUnder(job, server, outcome)) {
+  } else if (co_await processEndedDuring(job, server, outcome)) {
     const quarantine::RequestFingerprint fingerprint = job.fingerprint();
     logServerEnded(job.request.id, fingerprint, server.id, outcome.error());
     if (context_.pool.isCurrent(server)) {
@@ -231,20 +231,20 @@
   job.trial = {};
 }
 
-awaitable<bool> Forwarder::hasEndedUnder(const Job& job, const fleet::Server& server,
-                                         const Result<void>& outcome) {
+awaitable<bool> Forwarder::processEndedDuring(const Job& job, const fleet::Server& server,
+                                              const Result<void>& outcome) {
   const bool brokeOff = outcome.error().kind == ErrorKind::kOutcomeUnknown ||
                         outcome.error().kind == ErrorKind::kStreamBroken;
-  // A connection that this node closed itself says nothing of the server.
+  // A connection that this node closed is no evidence about the server.
   if (!brokeOff || job.expired || job.writer.callerGone()) {
     co_return false;
   }
-  // One that was to leave has ended as planned.
+  // A draining or removed server has ended as planned.
   const fleet::Server* listed = context_.pool.find(server.id);
   if (listed == nullptr || listed->draining) {
     co_return false;
   }
-  co_return co_await crashCheck_.hasEnded(server);
+  co_return co_await crashCheck_.processHasEnded(server);
 }
 
 bool Forwarder::knowsWeights(const Job& job) const {
@@ -257,17 +257,17 @@
   return ageOf(context_.weights(job.request.model, weights).outdatedSince, now);
 }
 
-void Forwarder::noteBegin(Job& job, const Dispatch& dispatch) const {
+void Forwarder::recordStart(Job& job, const Dispatch& dispatch) const {
   if (!dispatch.weights) {
     return;
   }
-  job.begunOutdatedFor = outdatedFor(job, *dispatch.weights, monotonicNow());
-  if (job.begunOutdatedFor) {
-    context_.metrics.countOutdatedBegin(*job.begunOutdatedFor > settings_.weightsBound);
+  job.outdatedAtStart = outdatedFor(job, *dispatch.weights, monotonicNow());
+  if (job.outdatedAtStart) {
+    context_.metrics.countOutdatedStart(*job.outdatedAtStart > settings_.weightsBound);
   }
 }
 
-void Forwarder::observe(const Job& job, const Dispatch& dispatch, const Chosen& chosen,
+void Forwarder::observe(const Job& job, const Dispatch& dispatch, const ChosenServer& chosen,
                         DispatchEnd end, std::optional<double> startMs) {
   const RolloutHooks& hooks = context_.rollouts;
   if (!hooks.onAnswer) {
@@ -280,17 +280,17 @@
   report.track = chosen.track;
   report.order = chosen.order;
   report.server = chosen.server.id;
-  // A stream of a run that another has replaced was broken off by its crash.
+  // A stream of a run that has been replaced was broken by the crash of that run.
   const bool replaced = !context_.pool.isCurrent(chosen.server);
   report.end = replaced && end == DispatchEnd::kBroken ? DispatchEnd::kNoAnswer : end;
-  report.tellsSpeed =
-      chosen.tellsSpeed && !replaced && context_.pool.tellsSpeed(chosen.server.id, now);
+  report.latencyRepresentative =
+      chosen.latencyRepresentative && !replaced && context_.pool.tellsSpeed(chosen.server.id, now);
   report.startMs = startMs;
   if (dispatch.weights) {
-    const bool sharedThere =
+    const bool sharedPrefixAvailable =
         chosen.track == service_rollout::Track::kStable || dispatch.fetchCacheFrom.has_value();
-    report.expectedStartMs =
-        expectedStartMs(job.routeRequest, chosen.candidate, chosen.uncached, sharedThere);
+    report.expectedStartMs = expectedStartMs(job.routeRequest, chosen.candidate,
+                                             chosen.uncachedTokens, sharedPrefixAvailable);
   }
   if (job.streaming() && end == DispatchEnd::kAnswered) {
     report.paceMs = paceMs(job.relay.timing());
@@ -299,13 +299,13 @@
     hooks.onAnswer(chosen.order, *answer);
   }
   const auto isUp = [this](const BackendId& id) { return context_.pool.reachedByAll(id); };
-  for (const auto& [order, answer] : observer_.takeBroken(isUp, now)) {
+  for (const auto& [order, answer] : observer_.takeBrokenStreams(isUp, now)) {
     hooks.onAnswer(order, answer);
   }
 }
 
-void Forwarder::moveCache(const Job& job, const Chosen& chosen, std::uint64_t sharedKey,
-                          Dispatch& dispatch) const {
+void Forwarder::planCacheTransfers(const Job& job, const ChosenServer& chosen,
+                                   std::uint64_t sharedKey, Dispatch& dispatch) const {
   const WeightsView view = context_.weights(job.request.model, chosen.candidate.weights);
   CacheMoveQuery query;
   query.serverWeights = chosen.candidate.weights;
@@ -324,27 +324,27 @@
   dispatch.saveCacheTo = move.saveTo;
 }
 
-std::optional<WeightsVersion> Forwarder::weightsBehind(const Job& job, const Dispatch& dispatch,
-                                                       std::optional<WeightsVersion> told) const {
+std::optional<WeightsVersion> Forwarder::inferServerWeights(
+    const Job& job, const Dispatch& dispatch, std::optional<WeightsVersion> reported) const {
   if (!dispatch.weights) {
     return std::nullopt;
   }
-  if (told) {
-    return *told > *dispatch.weights ? told : std::nullopt;
+  if (reported) {
+    return *reported > *dispatch.weights ? reported : std::nullopt;
   }
   const WeightsView view = context_.weights(job.request.model, *dispatch.weights);
   return view.outdatedSince ? view.newest : std::nullopt;
 }
 
-bool Forwarder::isKnownWith(const BackendId& id, const ModelId& model,
-                            WeightsVersion weights) const {
+bool Forwarder::isKnownToHaveWeights(const BackendId& id, const ModelId& model,
+                                     WeightsVersion weights) const {
   const fleet::Server* server = context_.pool.find(id);
   return server != nullptr && std::find(server->models.begin(), server->models.end(),
                                         fleet::LoadedModel{model, weights}) != server->models.end();
 }
 
-void Forwarder::learnFrom(Job& job, const fleet::Server& server, const Result<void>& outcome,
-                          std::optional<WeightsVersion> weights) {
+void Forwarder::updatePool(Job& job, const fleet::Server& server, const Result<void>& outcome,
+                           std::optional<WeightsVersion> weights) {
   if (!context_.pool.isCurrent(server)) {
     return;
   }
@@ -362,9 +362,9 @@
       context_.pool.markUnreachable(server.id, now);
       break;
     case ErrorKind::kOtherWeights:
-      // It may have the request at once, under the weights that were just learnt; but not where
-      // these are older than those that it was known by.
-      if (isKnownWith(server.id, job.request.model, weights.value_or(WeightsVersion()))) {
+      // The server may get the request again at once, with the weights that it has just reported,
+      // unless these are older than the ones known before.
+      if (isKnownToHaveWeights(server.id, job.request.model, weights.value_or(WeightsVersion()))) {
         std::erase(job.routeRequest.avoided, server.id);
       } else {
         context_.pool.pause(server.id, now + settings_.refusalPause, now);
@@ -393,22 +393,22 @@
   return outdated ? settings_.loadPause : settings_.refusalPause;
 }
 
-AttemptBounds Forwarder::boundsOf(const Job& job, double wayMs) const {
-  const Milliseconds left = until(job.end);
-  /// A connection takes one way there and back, and an acknowledgement another; the rest is for a
-  /// slow process or a lost packet.
-  constexpr double kConnectWays = 4;
-  const Milliseconds fromWay(static_cast<std::int64_t>(kConnectWays * wayMs));
+AttemptBounds Forwarder::boundsOf(const Job& job, double roundTripMs) const {
+  const Milliseconds left = remainingTime(job.end);
+  /// A connection takes one round trip, and an acknowledgement another; the rest allows for a slow
+  /// process or a lost packet.
+  constexpr double kConnectRoundTrips = 4;
+  const Milliseconds fromRoundTrip(static_cast<std::int64_t>(kConnectRoundTrips * roundTripMs));
   AttemptBounds bounds;
-  bounds.connectTimeout = std::min(std::max(settings_.connectTimeout, fromWay), left);
+  bounds.connectTimeout = std::min(std::max(settings_.connectTimeout, fromRoundTrip), left);
   bounds.unacknowledgedTimeout = settings_.unacknowledgedTimeout;
   if (bounds.unacknowledgedTimeout > Milliseconds(0)) {
-    bounds.unacknowledgedTimeout = std::max(bounds.unacknowledgedTimeout, fromWay);
+    bounds.unacknowledgedTimeout = std::max(bounds.unacknowledgedTimeout, fromRoundTrip);
   }
   bounds.headTimeout = left;
   bounds.firstEventTimeout = left;
   bounds.eventTimeout = left;
-  if (settings_.movesOn && job.mayMoveOn()) {
+  if (settings_.movesOn && job.mayFailOver()) {
     const Milliseconds patience(static_cast<std::int64_t>(
         settings_.patienceTargets * static_cast<double>(job.grant.route->targetLatency.count())));
     bounds.headTimeout = std::min(left, patience);
--- a/src/forward/metrics.cc
+++ b/src/forward/metrics.cc
@@ -33,7 +33,7 @@
                        "servers that stopped getting work, by cause")),
       notices_(counters(registry, "calicodrift_forward_server_notices_total",
                         "heads of servers' answers that said something of the server, by what")),
-      outdatedBegins_(counters(registry, "calicodrift_forward_outdated_begins_total",
+      outdatedStarts_(counters(registry, "calicodrift_forward_outdated_begins_total",
                                "requests that began on weights that were not the newest, by "
                                "whether that was later than the deployment allows")),
       dispatches_(
@@ -55,8 +55,8 @@
                      .Add({})),
       firstByte_(histogram(registry, "calicodrift_forward_first_byte_seconds",
                            "from the request to the first byte of the answer")),
-      whole_(histogram(registry, "calicodrift_forward_whole_seconds",
-                       "from the request to the end of the answer")),
+      answerTime_(histogram(registry, "calicodrift_forward_whole_seconds",
+                            "from the request to the end of the answer")),
       pause_(histogram(registry, "calicodrift_forward_pause_seconds",
                        "longest pause between two pieces of a stream")),
       configVersion_(gauge(registry, "calicodrift_forward_config_version",
@@ -102,15 +102,15 @@
   losses_.Add({{"cause", std::string(cause)}}).Increment();
 }
 
-void ForwardMetrics::countOutdatedBegin(bool beyondBound) {
-  outdatedBegins_.Add({{"beyond_bound", beyondBound ? "true" : "false"}}).Increment();
+void ForwardMetrics::countOutdatedStart(bool beyondBound) {
+  outdatedStarts_.Add({{"beyond_bound", beyondBound ? "true" : "false"}}).Increment();
 }
 
 void ForwardMetrics::observeFirstByte(double seconds) {
   firstByte_.Observe(seconds);
 }
-void ForwardMetrics::observeWhole(double seconds) {
-  whole_.Observe(seconds);
+void ForwardMetrics::observeAnswerTime(double seconds) {
+  answerTime_.Observe(seconds);
 }
 void ForwardMetrics::observePause(double seconds) {
   pause_.Observe(seconds);
--- a/src/forward/metrics.h
+++ b/src/forward/metrics.h
@@ -4,33 +4,33 @@
 
 namespace calicodrift::forward {
 
-/// Counters of the data path; all are declared here.
+/// Metrics of the data path.
 class ForwardMetrics {
  public:
   explicit ForwardMetrics(prometheus::Registry& registry);
 
   void countRequest(std::string_view kind);
-  /// @param status of the answer that the caller got; 0 where none was complete.
+  /// @param status status of the answer that the caller received; 0 if none was complete.
   void countAnswer(unsigned status);
   void countError(std::string_view errorKind);
-  /// @param nearby whether the server stands in this node's region.
+  /// @param nearby whether the server is in this node's region.
   void countDispatch(bool nearby);
   void countRetry(std::string_view cause);
   void countRetryDenied();
-  /// Requests taken back from servers whose weights ran out before they had begun.
+  /// Counts requests recalled from servers whose weights expired before they had begun.
   void countRecalls(std::size_t count);
   void countServerLoss(std::string_view cause);
-  /// The head of a server's answer said something of the server: "leaving" or "rest", or
-  /// "unreadable".
+  /// Counts a notice in the head of a server's answer: "leaving", "rest" or "unreadable".
   void countNotice(std::string_view notice);
-  /// A call was not sent, as its server had left, or asked for rest, since it was chosen.
+  /// Counts a call that was not sent because its server left, or asked for rest, after it was
+  /// chosen.
   void countWithdrawn() { withdrawn_.Increment(); }
-  /// A server began with a request on weights that are not the newest.
+  /// Counts a request that a server began on weights that are not the newest.
   /// @param beyondBound whether newer ones were named longer ago than the deployment allows.
-  void countOutdatedBegin(bool beyondBound);
+  void countOutdatedStart(bool beyondBound);
   void observeFirstByte(double seconds);
-  void observeWhole(double seconds);
-  /// The longest pause between two pieces of a stream.
+  void observeAnswerTime(double seconds);
+  /// Records the longest pause between two chunks of a stream, in seconds.
   void observePause(double seconds);
   void setConfigVersion(double version);
   void setServers(double count);
@@ -42,14 +42,14 @@
   prometheus::Family<prometheus::Counter>& retries_;
   prometheus::Family<prometheus::Counter>& losses_;
   prometheus::Family<prometheus::Counter>& notices_;
-  prometheus::Family<prometheus::Counter>& outdatedBegins_;
+  prometheus::Family<prometheus::Counter>& outdatedStarts_;
   prometheus::Counter& dispatches_;
   prometheus::Counter& distantDispatches_;
   prometheus::Counter& retriesDenied_;
   prometheus::Counter& recalls_;
   prometheus::Counter& withdrawn_;
   prometheus::Histogram& firstByte_;
-  prometheus::Histogram& whole_;
+  prometheus::Histogram& answerTime_;
   prometheus::Histogram& pause_;
   prometheus::Gauge& configVersion_;
   prometheus::Gauge& servers_;
--- a/src/forward/prompt_blocks.cc
+++ b/src/forward/prompt_blocks.cc
@@ -5,8 +5,9 @@
 namespace calicodrift::forward {
 namespace {
 
-/// Parts this long at least get a block of their own; a shorter one joins the next.
-constexpr std::size_t kLeastBlockTokens = 16;
+/// Parts of at least this length, and remainders of parts, get a block of their own; shorter ones
+/// join the next block.
+constexpr std::size_t kMinBlockTokens = 16;
 
 Priority toPriority(unsigned rank) {
   if (rank == 0) {
@@ -15,7 +16,7 @@
   return rank == 1 ? Priority::kNormal : Priority::kLow;
 }
 
-/// The chain of a prompt's blocks. The last part is the request's own.
+/// Chains the hashes of a prompt's blocks. The last part is specific to the request, not shared.
 void chainPrompt(const std::vector<PromptPart>& prompt, std::uint64_t seed,
                  routing::RouteRequest& route) {
   std::uint64_t chain = seed;
@@ -28,7 +29,7 @@
     std::size_t left = part.tokens;
     std::uint64_t index = 0;
     chain = hashPair(chain, partHash);
-    while (left >= kLeastBlockTokens) {
+    while (left >= kMinBlockTokens) {
       chain = hashPair(chain, index);
       route.blocks.emplace_back(chain);
       left -= std::min(left, kRoutingBlockTokens);
--- a/src/forward/prompt_blocks.h
+++ b/src/forward/prompt_blocks.h
@@ -5,12 +5,13 @@
 
 namespace calicodrift::forward {
 
-/// Prompt tokens of one block that routing policies see.
+/// Size in prompt tokens of the blocks that routing policies use.
 inline constexpr std::size_t kRoutingBlockTokens = 256;
 
-/// What routing policies know of a request: its parts cut into equal blocks, chained so that two
-/// requests share a block's hash only where all parts before it are the same. Blocks name neither
-/// weights nor tenant: a policy's beliefs about a server end when its weights change.
+/// Converts a request for the routing policies: its prompt parts are cut into blocks of equal size
+/// whose hashes are chained, so that two requests share a block's hash only if all earlier parts
+/// are the same. Blocks identify neither weights nor tenant, except for an isolated tenant: a
+/// policy's assumptions about a server end when its weights change.
 routing::RouteRequest toRouteRequest(const Request& request, const Grant& grant);
 
 }  // namespace calicodrift::forward
--- a/src/forward/protocol.h
+++ b/src/forward/protocol.h
@@ -8,13 +8,13 @@
 
 namespace calicodrift::forward {
 
-/// What callers speak.
+/// Protocol between callers and this node.
 class CallerProtocol {
  public:
   virtual ~CallerProtocol() = default;
-  /// Fails with kMalformedRequest.
+  /// Parses a request. Fails with kMalformedRequest.
   virtual Result<Request> read(http::Request&& message) const = 0;
-  /// The answer for an error, with its run statement and when to come back.
+  /// Returns the answer for an error, which states whether the request ran and when to retry.
   virtual http::Response refuse(const Error& error) const = 0;
 };
 
@@ -23,47 +23,50 @@
   explicit Dispatch(const fleet::Server& target) : server(target) {}
 
   const fleet::Server& server;
-  /// What is left of the caller's time, computed for this dispatch.
+  /// Remaining time until the caller's deadline, computed for this dispatch.
   Milliseconds timeLeft{0};
   const routes::Tenant* tenant = nullptr;
   unsigned priority = 0;
-  /// Names what cached prompt parts the request may use: the weights version, and the tenant where
-  /// it is isolated. Requests with different scopes never share cache.
+  /// Identifies the cached prompt parts that the request may use: the weights version, and the
+  /// tenant if it is isolated. Requests with different scopes never share cache.
   std::string cacheScope;
-  /// Weights that the server must have to run the request; nothing for requests without a model.
+  /// Weights that the server must have to run the request; empty for requests without a model.
   std::optional<WeightsVersion> weights;
-  /// Where the server gets what it lacks of the prompt's cache, and where it saves it.
+  /// Where the server fetches missing cache of the prompt, and where it saves it.
   std::optional<Endpoint> fetchCacheFrom;
   std::optional<Endpoint> saveCacheTo;
-  /// Where the stream goes on; nothing for its beginning.
+  /// Event after which the stream resumes; empty to start at the beginning.
   std::optional<EventNumber> resumeAfter;
 };
 
-/// What the head of an answer says of the request's execution.
+/// What the head of an answer proves about the execution of the request.
 enum class AnswerKind {
-  /// The server's own answer, success or failure: it has run.
+  /// The server's own answer, success or failure: the request has run.
   kAnswered,
   /// Proof that the server did not run the request.
   kNotRun,
-  /// Not run, as another server has the address now, or it has other weights than expected.
+  /// Not run, because another server has the address now or the server has other weights than
+  /// expected.
   kAnotherServer,
-  /// No answer to this request, or without proof that it is whole: it may have run.
+  /// Not an answer to this request, or without proof of integrity: the request may have run.
   kUnproven,
 };
 
-/// State of a model server as it reports it.
+/// State of a model server, from its own report.
 struct ServerReport {
-  /// The run that reports; nothing where it doesn't tell its start.
+  /// The run that reports; empty if the report doesn't contain its start.
   std::optional<Incarnation> started;
   std::vector<fleet::LoadedModel> models;
-  /// An order is under way.
+  /// Whether an order is in progress.
   bool busy = false;
-  /// Orders that it has taken; an order that expects another number has no effect.
+  /// Count of orders that the server has accepted; an order that expects another count has no
+  /// effect.
   std::uint64_t orderCount = 0;
 };
 
-/// An order to load weights. The server refuses it unless the fence is at least the highest it has
-/// seen, it is the server named, and it has taken as many orders as expected.
+/// An order to load weights. The server refuses it unless the fencing token is at least the highest
+/// it has seen, the order names this server, and the server has accepted as many orders as
+/// expected.
 struct WeightsOrder {
   BackendId server;
   ModelId model;
@@ -76,50 +79,50 @@
 enum class OrderOutcome {
   kTaken,
   kAlreadyHolds,
-  /// Another order is under way, or the count of orders differs.
+  /// Another order is in progress, or the count of orders differs.
   kConflict,
-  /// A higher fence was seen.
+  /// A higher fencing token was seen.
   kFenced,
   /// Another server has the address.
   kAnotherServer,
-  /// The order is unknown to it.
+  /// The server does not support the order.
   kRefused,
 };
 
-/// Where a store of kept cache stands in the history of its changes.
+/// Position of a cache store in its change history.
 struct CacheStoreState {
   /// Changes when the store restarts empty.
   std::uint64_t epoch = 0;
   std::uint64_t nextEvent = 0;
-  /// The store's run; nothing where it doesn't tell its start.
+  /// The store's run; empty if it doesn't report its start.
   std::optional<Incarnation> started = std::nullopt;
 };
 
-/// What servers speak.
+/// Protocol between this node and servers.
 class ServerProtocol {
  public:
   virtual ~ServerProtocol() = default;
   virtual http::Request encode(const Request& request, const Dispatch& dispatch) const = 0;
   virtual AnswerKind classify(const Request& request, const http::Response& head) const = 0;
-  /// Weights that made the answer, where it says so.
+  /// Weights that produced the answer, if it says so.
   virtual std::optional<WeightsVersion> weightsOf(const http::Response& head) const = 0;
-  /// What the server says of itself in the head.
+  /// Notices of the server in the head.
   virtual ServerNotices noticesOf(const http::Response& head) const = 0;
-  /// Whether the head is this server's, so that its notices are of this server. One that answers
-  /// for another run or server, or refuses without naming itself as not being the one that was
-  /// meant, is not.
+  /// Whether the head comes from this server, so that its notices apply to it. A head does not if
+  /// it answers for another run or server, or if it refuses the request as misdirected without
+  /// naming its sender.
   virtual bool speaksFor(const fleet::Server& server, const http::Response& head) const = 0;
-  /// Whether the answer's head names another server than this one. One that names none does not.
+  /// Whether the answer's head names another server than this one. A head that names none does not.
   virtual bool namesAnother(const fleet::Server& server, const http::Response& head) const = 0;
   virtual http::Request healthQuery(const routes::Service& service) const = 0;
   virtual bool isHealthy(const fleet::Server& server, const http::Response& answer) const = 0;
   virtual http::Request reportQuery(const fleet::Server& server) const = 0;
-  /// Fails with kProtocolViolation.
+  /// Parses a report. Fails with kProtocolViolation.
   virtual Result<ServerReport> readReport(const http::Response& answer) const = 0;
-  /// Waits for a change behind `since`, up to `wait`: whether the store answers tells that it
-  /// lives.
+  /// Waits for a change after `since`, for at most `wait`; any answer shows that the store is
+  /// alive.
   virtual http::Request cacheStoreQuery(const CacheStoreState& since, Milliseconds wait) const = 0;
-  /// Nothing where the store only says that it is asked by too many, or what it says can't be read.
+  /// Empty if the store only answers that it is overloaded, or if the answer can't be parsed.
   virtual std::optional<CacheStoreState> readCacheStore(const http::Response& answer) const = 0;
   virtual http::Request encodeOrder(const WeightsOrder& order) const = 0;
   virtual OrderOutcome readOrderAnswer(const http::Response& answer) const = 0;
--- a/src/forward/queue_admission.cc
+++ b/src/forward/queue_admission.cc
@@ -6,7 +6,7 @@
 
 std::optional<Milliseconds> QueueAdmission::refuse(Milliseconds wait, Milliseconds target,
                                                    unsigned rank, MonotonicTime now) {
-  /// Below this part of the steady limit the queues count as short again.
+  /// The queues count as short again below this fraction of the steady limit.
   constexpr double kRecoveredShare = 0.5;
   const auto waitMs = static_cast<double>(wait.count());
   const auto targetMs = static_cast<double>(std::max(target, Milliseconds(1)).count());
@@ -20,7 +20,7 @@
   if (waitMs <= limitTargets(now) * share * targetMs) {
     return std::nullopt;
   }
-  return std::min(wait, settings_.longestRetryAfter);
+  return std::min(wait, settings_.maxRetryAfter);
 }
 
 double QueueAdmission::limitTargets(MonotonicTime now) const {
--- a/src/forward/refusals.h
+++ b/src/forward/refusals.h
@@ -10,11 +10,11 @@
 
 namespace calicodrift::forward {
 
-/// What a refusal is logged with, of the configuration that decided it.
+/// Returns the fields for logging a refusal, from the configuration that decided it.
 RefusalFacts refusalFacts(const ConfigurationView& view, const Request& request);
 
-/// Answers callers with errors of this node: counted, logged, and with the time to come back where
-/// that may help.
+/// Answers callers with errors of this node; counts and logs them, and adds a retry time if the
+/// error is transient.
 class Refusals {
  public:
   Refusals(const CallerProtocol& callers, ForwardMetrics& metrics, Milliseconds retryAfter)
--- a/src/forward/request.h
+++ b/src/forward/request.h
@@ -10,11 +10,11 @@
 #include "http/message.h"
 #include "routes/route_table.h"
 
-/// The data path between callers and servers, whatever either of them speaks: protocols are ports
-/// (protocol.h), and what is decided here depends on the neutral request alone.
+/// The data path between callers and servers, independent of their protocols: these are interfaces
+/// (protocol.h), and decisions here depend only on the neutral request.
 namespace calicodrift::forward {
 
-/// Position of an event in a stream; rises within it.
+/// Position of an event in a stream; increases within a stream.
 using EventNumber = StrongType<struct EventNumberTag, std::uint64_t>;
 
 /// One part of a prompt. Requests whose prompts begin with the same parts can share cache.
@@ -23,29 +23,29 @@
   std::size_t tokens = 0;
 };
 
-/// A caller's request as the caller protocol read it.
+/// A caller's request as parsed by the caller protocol.
 struct Request {
   RequestId id;
   std::string host;
-  /// Method, target, end-to-end headers and body, as they go to a server.
+  /// Method, target, end-to-end headers and body, as forwarded to a server.
   http::Request message;
   std::string apiKey;
-  /// When its first byte came.
+  /// Arrival time of its first byte.
   MonotonicTime received{};
-  /// How long the caller waits; nothing where it doesn't say.
+  /// How long the caller waits; empty if the request doesn't say.
   std::optional<Milliseconds> patience;
   /// Empty for requests without a model.
   ModelId model;
   std::vector<PromptPart> prompt;
-  /// Whether the caller says how many tokens the request takes.
+  /// Whether the request states its token counts.
   bool statesTokens = false;
   std::size_t promptTokens = 0;
   std::size_t outputTokens = 0;
-  /// Last event that the caller has of the stream to go on with.
+  /// Last event of the stream that the caller already has, if it resumes one.
   std::optional<EventNumber> resumeAfter;
 };
 
-/// What the configuration says of a request.
+/// The configuration's entries that apply to a request.
 struct Grant {
   std::shared_ptr<const routes::RouteTable> table;
   const routes::Route* route = nullptr;
--- a/src/forward/request_gate.cc
+++ b/src/forward/request_gate.cc
@@ -36,10 +36,10 @@
   }
   const routes::Tenant* holder = view.table->findTenant(request.apiKey);
   if (holder != nullptr && holder->id != grant.tenant->id) {
-    return fail(ErrorKind::kNoConfiguration, "the key has gone to another tenant meanwhile");
+    return fail(ErrorKind::kNoConfiguration, "the key now belongs to another tenant");
   }
   if (holder == nullptr) {
-    return absence(view, now, ErrorKind::kUnauthenticated, "the tenant's key was withdrawn");
+    return absence(view, now, ErrorKind::kUnauthenticated, "the tenant's key was revoked");
   }
   return boost::outcome_v2::success();
 }
--- a/src/forward/request_log.cc
+++ b/src/forward/request_log.cc
@@ -12,7 +12,7 @@
   return std::string(errorRow(error.kind).name);
 }
 
-/// Empty where there is nothing.
+/// Returns an empty string if there is no value.
 std::string textOf(const std::optional<Milliseconds>& time) {
   return time ? std::to_string(time->count()) : "";
 }
@@ -40,8 +40,8 @@
        {"outdated_by", std::string(facts.outdatedBy)},
        {"up_ms", std::to_string(facts.upFor.count())},
        {"peer_load_ms", textOf(facts.peerLoadAge)},
-       {"at_limits", std::to_string(facts.atLimits)},
-       {"at_rest", std::to_string(facts.atRest)},
+       {"at_limits", std::to_string(facts.atLimitCount)},
+       {"at_rest", std::to_string(facts.restingCount)},
        {"prefix", std::to_string(facts.prefix)},
        {"fetch", source ? source->toString() : ""}});
 }
@@ -61,9 +61,9 @@
               {"server", facts.server.value()},
               {"sent", std::to_string(facts.sent)},
               {"ms", std::to_string(facts.duration.count())},
-              {"first_ms", textOf(facts.firstPiece)},
+              {"first_ms", textOf(facts.firstChunk)},
               {"pause_ms", std::to_string(facts.longestPause.count())},
-              {"begun_outdated_ms", textOf(facts.begunOutdatedFor)}});
+              {"begun_outdated_ms", textOf(facts.outdatedAtStart)}});
 }
 
 void logRecalled(const ModelId& model, WeightsVersion least, std::size_t count) {
--- a/src/forward/request_log.h
+++ b/src/forward/request_log.h
@@ -9,20 +9,20 @@
 #include "quarantine/fingerprint.h"
 #include "routing/policy.h"
 
-/// The log lines that name a request, all in one place; docs/operations/gateway.md lists them.
+/// All log events about a request; docs/operations/gateway.md lists them.
 namespace calicodrift::forward {
 
-/// What a refusal's line tells beside the error.
+/// Fields of a refusal's log event besides the error.
 struct RefusalFacts {
   std::string requestId;
   ConfigVersion config;
-  /// Age of the proof that it was the newest.
+  /// Age of the proof that the configuration was the newest.
   Milliseconds proofAge{0};
   AttemptCount attempts;
   BackendId server;
 };
 
-/// A server was chosen.
+/// Fields of the log event for a dispatch.
 struct DispatchFacts {
   const Request& request;
   const Grant& grant;
@@ -31,45 +31,45 @@
   std::string_view reason;
   std::size_t candidates = 0;
   std::size_t attempt = 0;
-  /// Prompt tokens to prefill there, the request's own with them.
+  /// Prompt tokens queued for prefill on the server, including the request's own.
   std::size_t waitingTokens = 0;
-  /// Names the prompt's common part under its cache scope.
+  /// Identifies the prompt's common prefix within its cache scope.
   std::uint64_t prefix = 0;
-  /// For how long newer weights than the server's have been named; nothing where it has the newest.
+  /// How long newer weights than the server's have been named; empty if it has the newest.
   std::optional<Milliseconds> outdatedFor;
-  /// How this node knows of those newer weights; empty where there are none.
+  /// Source of the knowledge about newer weights; empty if there are none.
   std::string_view outdatedBy;
-  /// For how long this node has been up: what it has only just found it can't know the age of.
+  /// Uptime of this node, which can't know the age of what it has only just discovered.
   Milliseconds upFor{0};
-  /// How old the other nodes' load is that the choice went by; nothing where none was told.
+  /// Age of the other nodes' load data that the choice used; empty if there was none.
   std::optional<Milliseconds> peerLoadAge;
-  /// Servers that it could not go to: those chosen before that were at the limits that they name,
-  /// and those at rest.
-  std::size_t atLimits = 0;
-  std::size_t atRest = 0;
+  /// Counts of servers that were not usable: those chosen before that were at their announced
+  /// limits, and those that asked for a rest.
+  std::size_t atLimitCount = 0;
+  std::size_t restingCount = 0;
 };
 
 void logDispatched(const DispatchFacts& facts);
 void logRetried(const RequestId& id, const BackendId& server, const Error& cause);
-/// How an answer reached its caller.
+/// Fields of the log event for an answer to a caller.
 struct AnswerFacts {
   const RequestId& id;
   unsigned status = 0;
   const BackendId& server;
   std::size_t sent = 0;
-  /// Until its end; of a stream also until its first piece, and its longest pause.
+  /// Time to the end of the answer; for a stream also to its first chunk, and its longest pause.
   Milliseconds duration{0};
-  std::optional<Milliseconds> firstPiece;
+  std::optional<Milliseconds> firstChunk;
   Milliseconds longestPause{0};
-  /// For how long newer weights had been named when the server began.
-  std::optional<Milliseconds> begunOutdatedFor;
+  /// How long newer weights had been named when the server began.
+  std::optional<Milliseconds> outdatedAtStart;
 };
 void logAnswered(const AnswerFacts& facts);
-/// Requests were taken back from servers that had not begun with them.
+/// Logs that requests were recalled from servers that had not begun them.
 void logRecalled(const ModelId& model, WeightsVersion least, std::size_t count);
 void logRefused(const RefusalFacts& facts, const Error& error);
 void logBroken(const RequestId& id, const BackendId& server, const Error& error);
-/// A server's process has ended while the request was under way there.
+/// Logs that a server's process ended while it was running the request.
 void logServerEnded(const RequestId& id, const quarantine::RequestFingerprint& fingerprint,
                     const BackendId& server, const Error& cause);
 void logCancelled(const RequestId& id);
--- a/src/forward/retry_rules.cc
+++ b/src/forward/retry_rules.cc
@@ -5,13 +5,13 @@
 namespace calicodrift::forward {
 namespace {
 
-/// Dispatches beyond the route's number of servers, for servers that refused or could not be
-/// reached.
+/// Dispatches allowed beyond the route's number of servers, for servers that refused or were
+/// unreachable.
 constexpr std::size_t kExtraDispatches = 2;
-/// Dispatches beyond those that found other weights than expected: while servers load newer weights
-/// one after the other, what a node knows of them is older than a load takes, and each such answer
-/// corrects it.
-constexpr std::size_t kMostOtherWeights = 4;
+/// Dispatches that found other weights than expected and don't count as attempts: while servers
+/// load newer weights one after the other, a node's knowledge of them is older than a load takes,
+/// and each such answer corrects it.
+constexpr std::size_t kMaxUncountedDispatches = 4;
 
 }  // namespace
 
@@ -23,7 +23,7 @@
 
 RetryDecision mayRetry(const routes::Route& route, ErrorKind failure,
                        const AttemptCount& attempts) {
-  const std::size_t uncounted = std::min(attempts.otherWeights, kMostOtherWeights);
+  const std::size_t uncounted = std::min(attempts.weightsMismatches, kMaxUncountedDispatches);
   if (attempts.sent - uncounted >= route.maxAttempts + kExtraDispatches) {
     return RetryDecision::kNo;
   }
@@ -33,13 +33,13 @@
   if (provesNotRun(failure)) {
     return RetryDecision::kBudgeted;
   }
-  const bool failedThere =
+  const bool failedOnServer =
       failure == ErrorKind::kOutcomeUnknown || failure == ErrorKind::kStreamBroken ||
       failure == ErrorKind::kProtocolViolation || failure == ErrorKind::kDeadlineExceeded ||
       failure == ErrorKind::kWeightsOutdated;
   const bool serversLeft = attempts.mayHaveRun < route.maxAttempts;
-  return failedThere && route.idempotent() && serversLeft ? RetryDecision::kBudgeted
-                                                          : RetryDecision::kNo;
+  return failedOnServer && route.idempotent() && serversLeft ? RetryDecision::kBudgeted
+                                                             : RetryDecision::kNo;
 }
 
 }  // namespace calicodrift::forward
--- a/src/forward/retry_rules.h
+++ b/src/forward/retry_rules.h
@@ -7,28 +7,28 @@
 
 /// Dispatches of one request so far.
 struct AttemptCount {
-  /// Sent, whatever came of it.
+  /// Sent, regardless of the outcome.
   std::size_t sent = 0;
   /// May have run.
   std::size_t mayHaveRun = 0;
-  /// Not run, as the server had other weights than this node knew.
-  std::size_t otherWeights = 0;
+  /// Not run, because the server had other weights than this node expected.
+  std::size_t weightsMismatches = 0;
 };
 
-/// What may follow a failed dispatch.
+/// Whether a failed dispatch may be retried.
 enum class RetryDecision {
   kNo,
-  /// It never reached a server, so that no budget is needed.
+  /// The request never reached a server, so no retry budget is consumed.
   kFree,
-  /// A server gets it a second time: only if the retry budget allows.
+  /// Another server gets the request: only if the retry budget allows it.
   kBudgeted,
 };
 
-/// Whether an error proves that no server has run the request.
+/// Whether an error proves that the server has not run the request.
 bool provesNotRun(ErrorKind kind);
 
 /// Invariant: a request that isn't idempotent is sent again only after proof that it has not run,
-/// so it runs at most once; and none runs on more servers than its route allows.
+/// so it runs at most once; and no request runs on more servers than its route allows.
 RetryDecision mayRetry(const routes::Route& route, ErrorKind failure, const AttemptCount& attempts);
 
 }  // namespace calicodrift::forward
--- a/src/forward/server_attempt.cc
+++ b/src/forward/server_attempt.cc
@@ -6,9 +6,9 @@
 namespace {
 
 using boost::asio::awaitable;
-constexpr unsigned kFirstServerFailure = 500;
+constexpr unsigned kFirstServerErrorStatus = 500;
 
-/// The server's head without what belongs to the connection it came over.
+/// Copies the server's head without hop-by-hop headers.
 http::Response endToEnd(const http::Response& head) {
   http::Response response;
   response.status = head.status;
@@ -17,14 +17,14 @@
       response.headers.add(header.name, header.value);
     }
   }
-  // The length is set anew for what is sent.
+  // The length is set again for the body that is sent.
   response.headers.erase("Content-Length");
   return response;
 }
 
 Error notRunError(AnswerKind kind, const fleet::Server& server, unsigned status) {
-  const std::string detail =
-      "server '" + server.id.value() + "' answered " + std::to_string(status) + " without running";
+  const std::string detail = "server '" + server.id.value() + "' answered " +
+                             std::to_string(status) + " without running the request";
   return fail(kind == AnswerKind::kAnotherServer ? ErrorKind::kFenced : ErrorKind::kBackendRefused,
               detail);
 }
@@ -51,9 +51,9 @@
   const AnswerKind kind = protocol_.classify(request, stream.head());
   answered_ = kind == AnswerKind::kAnswered;
   weights_ = protocol_.weightsOf(stream.head());
-  fromAnother_ = protocol_.namesAnother(dispatch.server, stream.head());
+  fromOtherServer_ = protocol_.namesAnother(dispatch.server, stream.head());
   if (kind == AnswerKind::kNotRun || kind == AnswerKind::kAnotherServer) {
-    // Reads the rest, so that the connection can serve again.
+    // Drains the body, so that the connection can be reused.
     const Result<std::string> rest = co_await stream.read();
     if (rest && !rest.value().empty()) {
       const Result<std::string> end = co_await stream.read();
@@ -79,20 +79,21 @@
     if (!piece) {
       co_return piece.error();
     }
-    noteFirstBytes();
+    notifyFirstBytes();
     if (piece.value().empty()) {
       break;
     }
     response.body += piece.value();
   }
   if (relay_.begun()) {
-    // A stream that the caller has begun to read can't turn into another answer.
-    co_return fail(ErrorKind::kStreamBroken, "a server answered the rest of a stream with status " +
-                                                 std::to_string(response.status));
+    // After the caller has begun to read a stream, no other answer can replace it.
+    co_return fail(ErrorKind::kStreamBroken,
+                   "a server answered the resumption of a stream with status " +
+                       std::to_string(response.status));
   }
-  if (response.status >= kFirstServerFailure && failureUse == FailureUse::kKeep) {
+  if (response.status >= kFirstServerErrorStatus && failureUse == FailureUse::kKeep) {
     keptFailure_ = std::move(response);
-    co_return fail(ErrorKind::kOutcomeUnknown, "the server failed");
+    co_return fail(ErrorKind::kOutcomeUnknown, "the server answered with a server error");
   }
   co_return co_await relay_.deliver(std::move(response));
 }
@@ -104,13 +105,14 @@
   if (!bytes) {
     co_return bytes.error();
   }
-  noteFirstBytes();
+  notifyFirstBytes();
   stream.setBodyTimeout(bounds.eventTimeout);
-  // Only now, so that another server can still answer in whole where this one sends nothing.
+  // The head is sent only after the first bytes, so that another server can still give the whole
+  // answer if this one sends nothing.
   http::Response head = endToEnd(stream.head());
   Result<void> relayed = co_await relay_.begin(std::move(head));
   while (relayed && !bytes.value().empty()) {
-    relayed = co_await relay_.take(bytes.value());
+    relayed = co_await relay_.relayBytes(bytes.value());
     if (!relayed) {
       break;
     }
@@ -126,7 +128,7 @@
   co_return co_await relay_.finish();
 }
 
-void ServerAttempt::noteFirstBytes() {
+void ServerAttempt::notifyFirstBytes() {
   if (firstBytesListener_) {
     const auto listener = std::exchange(firstBytesListener_, nullptr);
     listener();
--- a/src/forward/server_attempt.h
+++ b/src/forward/server_attempt.h
@@ -9,55 +9,54 @@
 
 namespace calicodrift::forward {
 
-/// Time bounds of one dispatch.
+/// Timeouts of one dispatch.
 struct AttemptBounds {
   Milliseconds connectTimeout{0};
   Milliseconds unacknowledgedTimeout{0};
-  /// For the head of the answer.
+  /// Timeout for the head of the answer.
   Milliseconds headTimeout{0};
-  /// For the first event of a stream, and between two later ones.
+  /// Timeouts for the first event of a stream, and between two later ones.
   Milliseconds firstEventTimeout{0};
   Milliseconds eventTimeout{0};
 };
 
-/// Whether a server's own failure (a 5xx that it vouches for) is passed on, or kept for the case
-/// that no other server does better.
+/// Whether a server's own 5xx answer is delivered, or kept in case no other server succeeds.
 enum class FailureUse { kDeliver, kKeep };
 
 /// One dispatch of a request to one server, with its answer relayed to the caller.
 class ServerAttempt {
  public:
-  /// @param purpose with a unit of the server's limit or without one.
+  /// @param purpose a request with a unit of the server's limit, or without one.
   ServerAttempt(ServerCalls& calls, const ServerProtocol& protocol, AnswerRelay& relay,
                 CallPurpose purpose)
       : calls_(calls), protocol_(protocol), relay_(relay), purpose_(purpose) {}
 
   /// Succeeds once the caller has the whole answer. kConnectFailed, kBackendRefused and kFenced
-  /// mean that this server has not run the request, kServerWithdrawn that it did not get it;
-  /// kCallerGone that the caller
-  /// left; others that it may have run. After a failure that is kept, kOutcomeUnknown.
+  /// mean that this server has not run the request, kServerWithdrawn that it did not receive it,
+  /// kCallerGone that the caller disconnected; for other errors it may have run. Fails with
+  /// kOutcomeUnknown if the server's failure was kept.
   boost::asio::awaitable<Result<void>> run(const Request& request, const Dispatch& dispatch,
                                            const AttemptBounds& bounds, bool streaming,
                                            FailureUse failureUse);
-  /// Closes the connection to the server, which so stops its work. Safe at any time.
+  /// Closes the connection to the server, which stops its work. Safe at any time.
   void cancel() { canceller_.cancel(); }
-  /// The same, as the server's weights must not be used any more.
+  /// Cancels because the server's weights must not be used any more.
   void recall() {
     recalled_ = true;
     cancel();
   }
   bool recalled() const { return recalled_; }
-  /// Called once, when the first bytes of the answer's body came.
+  /// The listener is called once, when the first bytes of the answer's body arrive.
   void onFirstBytes(std::function<void()> listener) { firstBytesListener_ = std::move(listener); }
   std::optional<WeightsVersion> weights() const { return weights_; }
-  /// The answer's head named another server than the one that was meant.
-  bool fromAnother() const { return fromAnother_; }
-  /// How long the connection took, where a new one was made.
+  /// Whether the answer's head named another server than the intended one.
+  bool fromOtherServer() const { return fromOtherServer_; }
+  /// Connection time, if a new connection was made.
   std::optional<Microseconds> connectTime() const { return connectTime_; }
   unsigned status() const { return status_; }
   /// Whether the head was the server's own answer, success or failure.
   bool answered() const { return answered_; }
-  /// The server's failure that was kept.
+  /// The server's 5xx answer, if it was kept.
   std::optional<http::Response>& keptFailure() { return keptFailure_; }
 
  private:
@@ -65,7 +64,7 @@
                                                   FailureUse failureUse);
   boost::asio::awaitable<Result<void>> relayEvents(http::ResponseStream& stream,
                                                    const AttemptBounds& bounds);
-  void noteFirstBytes();
+  void notifyFirstBytes();
 
   ServerCalls& calls_;
   const ServerProtocol& protocol_;
@@ -78,7 +77,7 @@
   std::optional<http::Response> keptFailure_;
   unsigned status_ = 0;
   bool answered_ = false;
-  bool fromAnother_ = false;
+  bool fromOtherServer_ = false;
   bool recalled_ = false;
 };
 
--- a/src/forward/server_calls.cc
+++ b/src/forward/server_calls.cc
@@ -7,12 +7,13 @@
 
 using boost::asio::awaitable;
 
-/// Over which the first calls of all nodes are spread that were asked for rest at the same time.
-constexpr Milliseconds kReturnSpread{200};
-/// Bounds the memory of what was logged already; a server is logged twice where it is passed.
-constexpr std::size_t kMostLogged = 4096;
+/// Interval over which nodes spread their first calls after a rest that ends for all of them at the
+/// same time.
+constexpr Milliseconds kRestEndSpread{200};
+/// Limits the memory for servers that were already logged; beyond it, servers are logged again.
+constexpr std::size_t kMaxLoggedRuns = 4096;
 
-Error withdrawn(const fleet::Server& server, const std::string& cause) {
+Error withdrawnError(const fleet::Server& server, const std::string& cause) {
   return fail(ErrorKind::kServerWithdrawn, "server '" + server.id.value() + "' " + cause);
 }
 
@@ -21,7 +22,7 @@
 awaitable<Result<std::unique_ptr<http::ResponseStream>>> ServerCalls::open(
     const fleet::Server& server, http::Request request, http::ExchangeOptions options,
     CallPurpose purpose) {
-  Sent sent;
+  SendState sent;
   const std::function<Result<void>()> beforeSend = [&]() -> Result<void> {
     BOOST_OUTCOME_TRY(mayBegin(server, purpose));
     sent = {context_.limits.versionOf(server), monotonicNow()};
@@ -36,7 +37,7 @@
   options.beforeSend = &beforeSend;
   auto opened = co_await context_.client.open(server.endpoint, std::move(request), options);
   if (opened) {
-    noteHead(server, sent, opened.value()->head());
+    processHead(server, sent, opened.value()->head());
   } else if (opened.error().kind == ErrorKind::kServerWithdrawn) {
     context_.metrics.countWithdrawn();
   }
@@ -56,47 +57,47 @@
 
 Result<void> ServerCalls::mayBegin(const fleet::Server& server, CallPurpose purpose) const {
   if (const auto until = context_.pool.rests().excludedUntil(server.id, monotonicNow())) {
-    return withdrawn(server, "wants no requests now");
+    return withdrawnError(server, "has asked for a rest");
   }
   if (purpose == CallPurpose::kQuestion) {
     return boost::outcome_v2::success();
   }
   const fleet::Server* listed = context_.pool.find(server.id);
   if (listed == nullptr || listed->started != server.started) {
-    return withdrawn(server, "is not listed any more");
+    return withdrawnError(server, "is no longer listed");
   }
   if (listed->draining) {
-    return withdrawn(server, "leaves");
+    return withdrawnError(server, "leaves");
   }
   const bool lacksUnit = purpose == CallPurpose::kRequest && context_.limits.any() &&
                          context_.limits.isLimited(server);
   if (lacksUnit) {
-    return withdrawn(server, "has named a limit meanwhile");
+    return withdrawnError(server, "has announced a request limit since it was chosen");
   }
   return boost::outcome_v2::success();
 }
 
-void ServerCalls::noteHead(const fleet::Server& server, const Sent& sent,
-                           const http::Response& head) {
+void ServerCalls::processHead(const fleet::Server& server, const SendState& sent,
+                              const http::Response& head) {
   if (!context_.protocol.speaksFor(server, head)) {
     return;
   }
   const ServerNotices notices = context_.protocol.noticesOf(head);
   context_.limits.noteHead(server, sent.limit, notices.requestLimit);
   if (!notices.unreadable.empty()) {
-    noteUnreadable(server, notices.unreadable);
+    handleUnreadable(server, notices.unreadable);
   }
   if (notices.leaving) {
-    noteLeaving(server, head);
+    handleLeaving(server, head);
   }
   if (notices.rest) {
-    noteRest(server, *notices.rest, head);
+    handleRest(server, *notices.rest, head);
   } else {
     context_.pool.noteAnswered(server.id, sent.at, monotonicNow());
   }
 }
 
-void ServerCalls::noteLeaving(const fleet::Server& server, const http::Response& head) {
+void ServerCalls::handleLeaving(const fleet::Server& server, const http::Response& head) {
   context_.metrics.countNotice("leaving");
   if (!context_.pool.noteLeaving(fleet::keyOf(server), monotonicNow())) {
     return;
@@ -108,10 +109,10 @@
   context_.limits.tellLeaving();
 }
 
-void ServerCalls::noteRest(const fleet::Server& server, Milliseconds rest,
-                           const http::Response& head) {
+void ServerCalls::handleRest(const fleet::Server& server, Milliseconds rest,
+                             const http::Response& head) {
   context_.metrics.countNotice("rest");
-  std::uniform_int_distribution<std::int64_t> spread(0, kReturnSpread.count());
+  std::uniform_int_distribution<std::int64_t> spread(0, kRestEndSpread.count());
   const MonotonicTime now = monotonicNow();
   context_.pool.noteRest(server.id, now + rest + Milliseconds(spread(random_)), now);
   log::write(log::Level::kInfo, "server_asks_for_rest",
@@ -120,12 +121,12 @@
               {"ms", std::to_string(rest.count())}});
 }
 
-void ServerCalls::noteUnreadable(const fleet::Server& server, const std::vector<Error>& errors) {
+void ServerCalls::handleUnreadable(const fleet::Server& server, const std::vector<Error>& errors) {
   context_.metrics.countNotice("unreadable");
-  if (unreadable_.size() >= kMostLogged) {
-    unreadable_.clear();
+  if (loggedUnreadable_.size() >= kMaxLoggedRuns) {
+    loggedUnreadable_.clear();
   }
-  if (!unreadable_.insert(fleet::keyOf(server)).second) {
+  if (!loggedUnreadable_.insert(fleet::keyOf(server)).second) {
     return;
   }
   for (const Error& error : errors) {
--- a/src/forward/server_calls.h
+++ b/src/forward/server_calls.h
@@ -15,18 +15,18 @@
 
 namespace calicodrift::forward {
 
-/// What a call to a server is for.
+/// Purpose of a call to a server.
 enum class CallPurpose {
-  /// A request of a caller, without a unit of the server's limit and with one.
+  /// A caller's request, without a unit of the server's limit and with one.
   kRequest,
   kRequestWithUnit,
   /// An order to load weights.
   kOrder,
-  /// A question for health or a report: also a server that leaves may be asked.
+  /// A health check or report query, which is also sent to a server that is leaving.
   kQuestion,
 };
 
-/// What ServerCalls needs of the node. All of it outlives it, on one thread.
+/// Dependencies of ServerCalls. All of them outlive it and run on its thread.
 struct ServerCallContext {
   http::Client& client;
   const ServerProtocol& protocol;
@@ -35,45 +35,45 @@
   ForwardMetrics& metrics;
 };
 
-/// The way of every call to a server. Right before the first byte it asks whether the server may
-/// still get the call. The head of each answer is read for what the server says of itself before
-/// the answer is passed on or read further, whatever its status and however the call ends.
+/// Carries every call to a server. Immediately before the first byte is sent, it checks whether the
+/// server may still get the call. The notices in the head of each answer are processed before the
+/// answer is passed on or read further, regardless of its status and of how the call ends.
 ///
-/// Invariant: nothing begins at a server after this node has read, or was told, that the server
-/// leaves, and nothing within a rest that it asked this node for.
+/// Invariant: no new work begins on a server after this node has read or been told that the server
+/// is leaving, and nothing within a rest that the server asked this node for.
 class ServerCalls {
  public:
   ServerCalls(ServerCallContext context, std::uint64_t seed) : context_(context), random_(seed) {}
 
-  /// As http::Client::open(); fails with kServerWithdrawn where the server may get no such call any
-  /// more and so got none. The server must outlive the call.
+  /// Like http::Client::open(); fails with kServerWithdrawn if the server may no longer get such a
+  /// call, in which case it was not sent. The server must outlive the call.
   boost::asio::awaitable<Result<std::unique_ptr<http::ResponseStream>>> open(
       const fleet::Server& server, http::Request request, http::ExchangeOptions options,
       CallPurpose purpose);
-  /// The same with the whole answer.
+  /// Like open(), but returns the whole answer.
   boost::asio::awaitable<Result<http::Response>> exchange(const fleet::Server& server,
                                                           http::Request request,
                                                           http::ExchangeOptions options,
                                                           CallPurpose purpose);
-  /// Whether a call may begin at the server now. Fails with kServerWithdrawn.
+  /// Whether a call may begin on the server now. Fails with kServerWithdrawn.
   Result<void> mayBegin(const fleet::Server& server, CallPurpose purpose) const;
 
  private:
-  /// What was known when a call was sent.
-  struct Sent {
+  /// State at the time a call was sent.
+  struct SendState {
     server_limits::LimitVersion limit;
     MonotonicTime at{};
   };
 
-  void noteHead(const fleet::Server& server, const Sent& sent, const http::Response& head);
-  void noteLeaving(const fleet::Server& server, const http::Response& head);
-  void noteRest(const fleet::Server& server, Milliseconds rest, const http::Response& head);
-  void noteUnreadable(const fleet::Server& server, const std::vector<Error>& errors);
+  void processHead(const fleet::Server& server, const SendState& sent, const http::Response& head);
+  void handleLeaving(const fleet::Server& server, const http::Response& head);
+  void handleRest(const fleet::Server& server, Milliseconds rest, const http::Response& head);
+  void handleUnreadable(const fleet::Server& server, const std::vector<Error>& errors);
 
   ServerCallContext context_;
   std::mt19937_64 random_;
-  /// Runs of which it was logged that a notice can't be read.
-  std::unordered_set<fleet::ServerKey> unreadable_;
+  /// Runs for which an unreadable notice was already logged.
+  std::unordered_set<fleet::ServerKey> loggedUnreadable_;
 };
 
 }  // namespace calicodrift::forward
--- a/src/forward/server_notices.h
+++ b/src/forward/server_notices.h
@@ -9,16 +9,16 @@
 
 namespace calicodrift::forward {
 
-/// What a server says of itself in the head of an answer, whatever the answer is to.
+/// Notices about the server itself in the head of an answer to any request.
 struct ServerNotices {
-  /// It finishes what it has and then ends: it must get no new work. True for all nodes.
+  /// The server finishes its current work and then exits, so it must get no new work from any node.
   bool leaving = false;
-  /// It refused, and wants nothing from this node for so long.
+  /// The server refused the request and wants none from this node for this long.
   std::optional<Milliseconds> rest;
-  /// The requests a second that it takes from all nodes together, as long as its answers say so;
-  /// nothing where it names no limit. Fails with kProtocolViolation where it can't be read.
+  /// Requests per second that the server accepts from all nodes together, while its answers say so;
+  /// empty if it names no limit. Fails with kProtocolViolation if it can't be parsed.
   Result<std::optional<double>> requestLimit = std::optional<double>();
-  /// Why other notices of the head can't be read; these change nothing.
+  /// Why other notices in the head can't be parsed; those have no effect.
   std::vector<Error> unreadable;
 };
 
--- a/src/forward/tenant_limit.h
+++ b/src/forward/tenant_limit.h
@@ -8,20 +8,22 @@
 
 namespace calicodrift::forward {
 
-/// What one dispatch of a request takes out of its tenant's limit, over all nodes together. Each
-/// dispatch claims anew, as each may run at a server; one that no server ran gives its units back.
+/// The units that one dispatch of a request consumes of its tenant's limit, which applies to all
+/// nodes together. Each dispatch claims them again, because each may run on a server; the units of
+/// a dispatch that no server ran are returned.
 class TenantLimitUse {
  public:
-  /// @param tenant null where the request has none; outlives this, as `request` need not.
+  /// @param tenant null if the request has none; must outlive this object, while `request` need
+  /// not.
   TenantLimitUse(const Request& request, const routes::Tenant* tenant);
 
-  /// Fails at once with kRateLimited, and when to come back, where the tenant is over its limit.
+  /// Fails immediately with kRateLimited and a retry time if the tenant is over its limit.
   boost::asio::awaitable<Result<void>> claim(quota::QuotaNode& quota) const;
   void giveBack(quota::QuotaNode& quota) const;
 
  private:
   const routes::Tenant* tenant_;
-  /// 0 where the tenant has no limit.
+  /// 0 if the tenant has no limit.
   double units_;
 };
 
--- a/src/forward/trial_choice.cc
+++ b/src/forward/trial_choice.cc
@@ -6,8 +6,8 @@
 namespace calicodrift::forward {
 namespace {
 
-/// Attempts of suspects that are under way at once in a fleet are few.
-constexpr std::size_t kMostChoices = 8;
+/// Enough choices, because a fleet runs few attempts of suspect requests at the same time.
+constexpr std::size_t kMaxTrialChoices = 8;
 
 quarantine::ServerRun runOf(const routing::Candidate& candidate) {
   return quarantine::runOf(candidate.id, candidate.incarnation);
@@ -31,7 +31,7 @@
                                                 const routing::CandidateSet& candidates) {
   std::vector<quarantine::ServerRun> choices;
   for (const std::size_t position : trialOrder(request, candidates)) {
-    if (choices.size() < kMostChoices) {
+    if (choices.size() < kMaxTrialChoices) {
       choices.push_back(runOf(candidates[position]));
     }
   }
@@ -40,10 +40,10 @@
 
 routing::Choice chooseForTrial(const routing::RouteRequest& request,
                                const routing::CandidateSet& candidates,
-                               quarantine::ServerRun given) {
+                               quarantine::ServerRun assigned) {
   const std::vector<std::size_t> order = trialOrder(request, candidates);
   const auto found = std::find_if(order.begin(), order.end(), [&](std::size_t position) {
-    return runOf(candidates[position]) == given;
+    return runOf(candidates[position]) == assigned;
   });
   routing::Choice choice;
   choice.index = found == order.end() ? order.front() : *found;
--- a/src/forward/trial_choice.h
+++ b/src/forward/trial_choice.h
@@ -7,19 +7,20 @@
 
 namespace calicodrift::forward {
 
-/// Where a request may go under which servers have ended before, the best first: to servers that
-/// have not had it and have few others on them, as all that runs there is lost if they end too.
-/// @param candidates never empty.
+/// Order of servers for a request that was in progress when servers crashed, best first: servers
+/// that have not had it and run few other requests, because those are lost if the server crashes
+/// too.
+/// @param candidates must not be empty.
 std::vector<std::size_t> trialOrder(const routing::RouteRequest& request,
                                     const routing::CandidateSet& candidates);
 
-/// The first of them as runs of servers, as many as one of is chosen from.
+/// The first servers of that order as server runs; quarantine chooses one of them.
 std::vector<quarantine::ServerRun> trialChoices(const routing::RouteRequest& request,
                                                 const routing::CandidateSet& candidates);
 
-/// The server that the trial was given, or the best one where that has left meanwhile.
+/// The server assigned to the trial, or the best one if that has left since.
 routing::Choice chooseForTrial(const routing::RouteRequest& request,
                                const routing::CandidateSet& candidates,
-                               quarantine::ServerRun given);
+                               quarantine::ServerRun assigned);
 
 }  // namespace calicodrift::forward
--- a/src/forward/waiting_dispatches.cc
+++ b/src/forward/waiting_dispatches.cc
@@ -26,7 +26,7 @@
   }
   std::size_t recalled = 0;
   for (const std::uint64_t number : outdated) {
-    // A recall may end its own dispatch and others at once.
+    // A recall may end its own dispatch and others immediately.
     const auto found = waiting_->find(number);
     if (found != waiting_->end()) {
       const Recall recall = std::exchange(found->second.recall, nullptr);
--- a/src/forward/waiting_dispatches.h
+++ b/src/forward/waiting_dispatches.h
@@ -10,13 +10,13 @@
 
 namespace calicodrift::forward {
 
-/// Dispatches that their servers have not begun with, so that those which wait for weights that
-/// must not be used any more can be taken back. What a node believes of a server's queue when it
-/// sends is too low by seconds while servers are slow or silent, so that only this keeps the bound
-/// on beginnings. No I/O.
+/// Dispatches that their servers have not begun, so that those waiting for weights that must not be
+/// used any more can be recalled. A node's estimate of a server's queue at sending is seconds too
+/// low while servers are slow or silent, so only recalling enforces the bound on starts with
+/// outdated weights. Does no I/O.
 class WaitingDispatches {
  public:
-  /// Ends the dispatch.
+  /// Cancels the dispatch.
   using Recall = std::function<void()>;
   struct Waiting {
     ModelId model;
@@ -25,15 +25,15 @@
   };
   using List = std::map<std::uint64_t, Waiting>;
 
-  /// Lists a dispatch for as long as it lives, or until end(). May outlive the list, as a dispatch
-  /// that a planned stop cuts does.
+  /// Registers a dispatch for the guard's lifetime, or until end(). May outlive the list, as
+  /// happens to a dispatch that is cut off by a planned shutdown.
   class Guard {
    public:
     Guard(WaitingDispatches& list, const ModelId& model, WeightsVersion weights, Recall recall);
     ~Guard() { end(); }
     Guard(const Guard&) = delete;
     Guard& operator=(const Guard&) = delete;
-    /// The server has begun. Safe at any time.
+    /// Removes the dispatch because the server has begun. Safe at any time.
     void end();
 
    private:
@@ -41,8 +41,8 @@
     std::uint64_t number_;
   };
 
-  /// Takes back all dispatches of the model that wait for weights below `least`.
-  /// @return how many.
+  /// Recalls all dispatches of the model that wait for weights below `least`.
+  /// @return the number of dispatches.
   std::size_t recall(const ModelId& model, WeightsVersion least);
   std::size_t size() const { return waiting_->size(); }
 
--- a/src/forward/weighted_choice.h
+++ b/src/forward/weighted_choice.h
@@ -7,15 +7,15 @@
 
 namespace calicodrift::forward {
 
-/// Divides a route's requests over its services by their weights: smooth weighted round robin, so
-/// that each service's share is right over short spans too.
+/// Divides a route's requests over its services by weight, with smooth weighted round robin, so
+/// that each share is also accurate over short sequences.
 class WeightedChoice {
  public:
   const std::string& choose(const routes::Route& route);
 
  private:
-  /// What each service of a route is owed, by the route's name.
-  std::map<std::string, std::map<std::string, std::int64_t>> owed_;
+  /// Current weight of each service, by the route's name.
+  std::map<std::string, std::map<std::string, std::int64_t>> currentWeights_;
 };
 
 }  // namespace calicodrift::forward
--- a/tests/forward/allowed_servers_test.cc
+++ b/tests/forward/allowed_servers_test.cc
@@ -110,7 +110,7 @@
   BOOST_TEST(asked == 0U);
   tried = {BackendId("b0"), BackendId("b1"), BackendId("b2")};
   BOOST_TEST((allowed(false).track == Track::kStable));
-  // Where all have had it the candidate keeps it.
+  // If all servers have had the request, it stays with the candidate.
   tried.emplace_back("a0");
   tried.emplace_back("a1");
   BOOST_TEST((allowed(false).track == Track::kCandidate));
--- a/tests/forward/answer_observer_test.cc
+++ b/tests/forward/answer_observer_test.cc
@@ -36,8 +36,8 @@
 struct ObserverFixture {
   AnswerObserver observer;
 
-  void learnUsual(double startMs, std::optional<double> paceMs = std::nullopt) {
-    for (std::size_t answer = 0; answer < AnswerObserver::kLeastAnswers; ++answer) {
+  void learnBaseline(double startMs, std::optional<double> paceMs = std::nullopt) {
+    for (std::size_t answer = 0; answer < AnswerObserver::kMinBaselineAnswers; ++answer) {
       DispatchReport report = answered(Track::kStable, startMs);
       report.paceMs = paceMs;
       observer.observe(report, kStart);
@@ -47,18 +47,18 @@
 
 BOOST_FIXTURE_TEST_SUITE(answer_observer, ObserverFixture)
 
-BOOST_AUTO_TEST_CASE(startIsMeasuredAgainstTheStableVersionsUsual) {
+BOOST_AUTO_TEST_CASE(startRatioUsesTheStableVersionsBaseline) {
   BOOST_TEST(!observer.observe(answered(Track::kCandidate, 20), kStart)->startRatio.has_value());
-  learnUsual(20);
+  learnBaseline(20);
   BOOST_TEST(*observer.observe(answered(Track::kStable, 20), kStart)->startRatio == 1.0);
-  // A slow candidate stays slow, however many of its answers come.
+  // A slow candidate's answers don't change the baseline, regardless of their number.
   for (int answer = 0; answer < 1000; ++answer) {
     BOOST_TEST(*observer.observe(answered(Track::kCandidate, 80), kStart)->startRatio == 4.0);
   }
 }
 
-BOOST_AUTO_TEST_CASE(whatIsUsualIsKnownWhenAnOrderBegins) {
-  for (std::size_t answer = 0; answer < AnswerObserver::kLeastAnswers; ++answer) {
+BOOST_AUTO_TEST_CASE(baselineIsLearntWithoutAnOrder) {
+  for (std::size_t answer = 0; answer < AnswerObserver::kMinBaselineAnswers; ++answer) {
     DispatchReport report = answered(Track::kStable, 20);
     report.order = OrderKey();
     BOOST_TEST(!observer.observe(report, kStart).has_value());
@@ -66,18 +66,18 @@
   BOOST_TEST(*observer.observe(answered(Track::kCandidate, 60), kStart)->startRatio == 3.0);
 }
 
-BOOST_AUTO_TEST_CASE(startOfModelsIsMeasuredAgainstTheExpectedWork) {
+BOOST_AUTO_TEST_CASE(startRatioOfModelsUsesTheExpectedTime) {
   DispatchReport report = answered(Track::kCandidate, 300);
   report.expectedStartMs = 100;
   BOOST_TEST(*observer.observe(report, kStart)->startRatio == 3.0);
-  // Below the least expected time the ways outweigh the work.
+  // Below the minimum expected time, network latency outweighs the work.
   report.startMs = 5;
   report.expectedStartMs = 0.1;
   BOOST_TEST(*observer.observe(report, kStart)->startRatio == 0.5);
 }
 
-BOOST_AUTO_TEST_CASE(paceIsMeasuredAgainstTheStableVersionsUsual) {
-  learnUsual(20, 4.0);
+BOOST_AUTO_TEST_CASE(paceRatioUsesTheStableVersionsBaseline) {
+  learnBaseline(20, 4.0);
   DispatchReport report = answered(Track::kCandidate, 20);
   report.paceMs = 10;
   BOOST_TEST(*observer.observe(report, kStart)->paceRatio == 2.5);
@@ -85,26 +85,26 @@
   BOOST_TEST(!observer.observe(report, kStart)->paceRatio.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(serversThatWarmUpOrLoadTellNothingOfSpeedButFail) {
-  learnUsual(20, 4.0);
+BOOST_AUTO_TEST_CASE(unrepresentativeServersReportFailuresButNoLatency) {
+  learnBaseline(20, 4.0);
   DispatchReport report = answered(Track::kCandidate, 500);
   report.paceMs = 100;
-  report.tellsSpeed = false;
+  report.latencyRepresentative = false;
   const auto slow = observer.observe(report, kStart);
   BOOST_TEST((!slow->startRatio && !slow->paceRatio && !slow->failed));
   report.end = DispatchEnd::kFailed;
   BOOST_TEST(observer.observe(report, kStart)->failed);
-  // Nor do such servers of the stable version change what is usual.
+  // Such servers of the stable version don't change the baseline either.
   DispatchReport stable = answered(Track::kStable, 500);
-  stable.tellsSpeed = false;
+  stable.latencyRepresentative = false;
   for (int answer = 0; answer < 100; ++answer) {
     observer.observe(stable, kStart);
   }
   BOOST_TEST(*observer.observe(answered(Track::kCandidate, 20), kStart)->startRatio == 1.0);
 }
 
-BOOST_AUTO_TEST_CASE(failuresTellNothingOfSpeed) {
-  learnUsual(20);
+BOOST_AUTO_TEST_CASE(failuresHaveNoLatencyRatio) {
+  learnBaseline(20);
   DispatchReport report = answered(Track::kCandidate, 1);
   report.end = DispatchEnd::kFailed;
   const auto failed = observer.observe(report, kStart);
@@ -112,43 +112,44 @@
   BOOST_TEST(!failed->startRatio.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(whatWasNotRunOrEndedByUsIsNoAnswer) {
+BOOST_AUTO_TEST_CASE(dispatchesWithoutAnswerAreNotObserved) {
   DispatchReport report = answered(Track::kCandidate, 20);
   report.end = DispatchEnd::kNoAnswer;
   BOOST_TEST(!observer.observe(report, kStart).has_value());
-  BOOST_TEST(observer.takeBroken(always, kStart + std::chrono::seconds(5)).empty());
+  BOOST_TEST(observer.takeBrokenStreams(always, kStart + std::chrono::seconds(5)).empty());
 }
 
-BOOST_AUTO_TEST_CASE(aBrokenStreamIsAFailureOfAServerThatLivesOn) {
+BOOST_AUTO_TEST_CASE(brokenStreamIsAFailureIfTheServerStaysUp) {
   BOOST_TEST(!observer.observe(broken("a"), kStart).has_value());
   BOOST_TEST(!observer.observe(broken("crashed"), kStart).has_value());
   const auto isUp = [](const BackendId& id) { return id != BackendId("crashed"); };
-  // A crash shows only some time later.
-  BOOST_TEST(observer.takeBroken(always, kStart + Milliseconds(599)).empty());
-  const auto told = observer.takeBroken(isUp, kStart + AnswerObserver::kBreakSettle);
+  // A crash is detected only after kCrashDetectionTime.
+  BOOST_TEST(observer.takeBrokenStreams(always, kStart + Milliseconds(599)).empty());
+  const auto told = observer.takeBrokenStreams(isUp, kStart + AnswerObserver::kCrashDetectionTime);
   BOOST_REQUIRE(told.size() == 1U);
   BOOST_TEST((told[0].first == kOrder));
   BOOST_TEST(told[0].second.failed);
   BOOST_TEST((told[0].second.track == Track::kCandidate));
-  BOOST_TEST(observer.takeBroken(always, kStart + std::chrono::seconds(5)).empty());
+  BOOST_TEST(observer.takeBrokenStreams(always, kStart + std::chrono::seconds(5)).empty());
 }
 
-/// It is up again when its crash would show.
-BOOST_AUTO_TEST_CASE(aStreamThatARestartBrokeOffIsNoFailure) {
+/// The server is up again when kCrashDetectionTime has passed, so only the restart shows its crash.
+BOOST_AUTO_TEST_CASE(streamBrokenByARestartIsNoFailure) {
   observer.observe(broken("a"), kStart);
   observer.observe(broken("b"), kStart);
   observer.onRestarted(BackendId("a"));
-  const auto told = observer.takeBroken(always, kStart + AnswerObserver::kBreakSettle);
+  const auto told =
+      observer.takeBrokenStreams(always, kStart + AnswerObserver::kCrashDetectionTime);
   BOOST_TEST(told.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(aServersBrokenStreamsCountOnceASecond) {
+BOOST_AUTO_TEST_CASE(brokenStreamsOfAServerCountOncePerInterval) {
   for (int stream = 0; stream < 12; ++stream) {
     observer.observe(broken("a"), kStart + Milliseconds(stream));
     observer.observe(broken("b"), kStart + Milliseconds(stream));
   }
-  observer.observe(broken("a"), kStart + AnswerObserver::kBreakTerm);
-  BOOST_TEST(observer.takeBroken(always, kStart + std::chrono::seconds(5)).size() == 3U);
+  observer.observe(broken("a"), kStart + AnswerObserver::kBrokenStreamInterval);
+  BOOST_TEST(observer.takeBrokenStreams(always, kStart + std::chrono::seconds(5)).size() == 3U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/forward/forward_test.cc
+++ b/tests/forward/forward_test.cc
@@ -44,7 +44,7 @@
   return request;
 }
 
-BOOST_AUTO_TEST_CASE(gateServesKeysOnlyByAProvenConfiguration) {
+BOOST_AUTO_TEST_CASE(gateServesKeysOnlyWithAProvenConfiguration) {
   const RequestGate gate({Milliseconds(3000), Milliseconds(2000)});
   const ConfigurationView view = viewOf({makeRoute(routes::RouteKind::kSafe, false, 1)}, kStart);
   const Request good = makeRequest("/a/x", "key");
@@ -54,7 +54,7 @@
   BOOST_TEST((gate.check(good, {}, kStart).error().kind == ErrorKind::kNoConfiguration));
 }
 
-BOOST_AUTO_TEST_CASE(gateTellsAbsenceForGoodOnlyByAProvenConfiguration) {
+BOOST_AUTO_TEST_CASE(gateReportsAbsenceAsFinalOnlyWithAProvenConfiguration) {
   const RequestGate gate({Milliseconds(3000), Milliseconds(2000)});
   const ConfigurationView view = viewOf({makeRoute(routes::RouteKind::kSafe, false, 1)}, kStart);
   const Request noKey = makeRequest("/a/x", "other");
@@ -66,7 +66,7 @@
   BOOST_TEST((gate.check(noRoute, view, later).error().kind == ErrorKind::kNoConfiguration));
 }
 
-BOOST_AUTO_TEST_CASE(whatRunsOnceIsRepeatedOnlyAfterProof) {
+BOOST_AUTO_TEST_CASE(nonIdempotentRequestIsRetriedOnlyAfterProof) {
   const routes::Route once = makeRoute(routes::RouteKind::kUnsafe, false, 3);
   const routes::Route stream = makeRoute(routes::RouteKind::kStreaming, false, 3);
   for (const ErrorKind kind : {ErrorKind::kOutcomeUnknown, ErrorKind::kDeadlineExceeded,
@@ -87,7 +87,7 @@
   BOOST_TEST((mayRetry(safe, ErrorKind::kConnectFailed, {4, 0}) == RetryDecision::kNo));
 }
 
-BOOST_AUTO_TEST_CASE(answersThatTellOtherWeightsUseUpNoTry) {
+BOOST_AUTO_TEST_CASE(weightsMismatchesDoNotCountAsAttempts) {
   const routes::Route once = makeRoute(routes::RouteKind::kUnsafe, false, 2);
   BOOST_TEST((mayRetry(once, ErrorKind::kOtherWeights, {4, 0, 4}) == RetryDecision::kBudgeted));
   BOOST_TEST((mayRetry(once, ErrorKind::kOtherWeights, {7, 0, 7}) == RetryDecision::kBudgeted));
@@ -96,31 +96,31 @@
   BOOST_TEST((mayRetry(once, ErrorKind::kOutcomeUnknown, {3, 1, 2}) == RetryDecision::kNo));
 }
 
-BOOST_AUTO_TEST_CASE(cutterGivesWholeEventsHoweverTheBytesCome) {
+BOOST_AUTO_TEST_CASE(splitterReturnsWholeEventsForAnyChunkSize) {
   const std::string stream = "id: 1\ndata: a\n\nid: 4\r\ndata: b\r\n\r\nid: 7\ndata: c\n\n";
   for (std::size_t piece = 1; piece < stream.size(); ++piece) {
-    EventCutter cutter;
+    EventSplitter splitter;
     std::string out;
     for (std::size_t at = 0; at < stream.size(); at += piece) {
-      cutter.feed(std::string_view(stream).substr(at, piece));
-      out += cutter.takeWholeEvents();
+      splitter.feed(std::string_view(stream).substr(at, piece));
+      out += splitter.takeWholeEvents();
     }
     BOOST_TEST(out == stream);
-    BOOST_TEST(cutter.rest().empty());
-    BOOST_TEST((cutter.lastEvent() == EventNumber(7)));
-    BOOST_TEST(cutter.inOrder());
+    BOOST_TEST(splitter.rest().empty());
+    BOOST_TEST((splitter.lastEvent() == EventNumber(7)));
+    BOOST_TEST(splitter.inOrder());
   }
 }
 
-BOOST_AUTO_TEST_CASE(cutterNoticesRepeatedEvents) {
-  EventCutter cutter;
-  cutter.startAfter(EventNumber(3));
-  cutter.feed("id: 3\ndata: a\n\n");
-  BOOST_TEST(!cutter.takeWholeEvents().empty());
-  BOOST_TEST(!cutter.inOrder());
+BOOST_AUTO_TEST_CASE(splitterDetectsRepeatedEvents) {
+  EventSplitter splitter;
+  splitter.startAfter(EventNumber(3));
+  splitter.feed("id: 3\ndata: a\n\n");
+  BOOST_TEST(!splitter.takeWholeEvents().empty());
+  BOOST_TEST(!splitter.inOrder());
 }
 
-BOOST_AUTO_TEST_CASE(weightsDivideEvenShortSpans) {
+BOOST_AUTO_TEST_CASE(weightsHoldOverShortSequences) {
   routes::Route route = makeRoute(routes::RouteKind::kSafe, false, 1);
   route.services = {{"a", 90}, {"b", 10}};
   WeightedChoice choice;
@@ -153,7 +153,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(cacheMovesFromTheStoreWhereThatIsKnownToKeepIt) {
-  // The holder may have pushed the part out since.
+  // The holder may have evicted the prefix since.
   CacheMoves moves({Milliseconds(1200)});
   const CacheMoveQuery query = settledQuery();
   moves.learnSaved({{7, storeKeyOf(*query.store)}}, kStart);
@@ -170,11 +170,11 @@
   BOOST_TEST((!unproven.fetchFrom && !unproven.saveTo));
 }
 
-BOOST_AUTO_TEST_CASE(whatWasSavedBeforeNewerWeightsWereNamedIsFetchedLater) {
+BOOST_AUTO_TEST_CASE(saveBeforeNewerWeightsWereNamedIsFetchedLater) {
   CacheMoves moves({Milliseconds(1200)});
   const Endpoint store = *settledQuery().store;
   moves.onSaved(7, store, kStart);
-  // What is saved again later does not make the first save newer.
+  // A repeated save does not change the time of the first one.
   moves.onSaved(7, store, kStart + Milliseconds(50));
   moves.onSaved(8, store, kStart + Milliseconds(20));
   CacheMoveQuery named = settledQuery();
@@ -198,7 +198,7 @@
   CacheMoves moves({Milliseconds(1200)});
   const Endpoint store = *settledQuery().store;
   moves.onSaved(7, store, kStart);
-  // What it gets anew may have been made by newer weights.
+  // What the store receives after its restart may have been produced by newer weights.
   moves.onStoreLost(store, kStart);
   moves.onSaved(7, store, kStart + Milliseconds(20));
   CacheMoveQuery named = settledQuery();
@@ -225,14 +225,14 @@
   CacheMoveQuery named = settledQuery();
   named.outdatedSince = kStart + Milliseconds(10);
   BOOST_TEST((moves.decide(named, kStart + Milliseconds(100)).fetchFrom == store));
-  // What is heard shortly after the store was lost may be from before.
+  // Reports received shortly after the loss of a store may predate it.
   moves.onStoreLost(store, kStart + Milliseconds(200));
   moves.learnSaved({{7, storeKeyOf(store)}}, kStart + Milliseconds(300));
   named.outdatedSince = kStart + Milliseconds(400);
   BOOST_TEST(!moves.decide(named, kStart + Milliseconds(500)).fetchFrom.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(savesAreToldOnce) {
+BOOST_AUTO_TEST_CASE(savesAreReportedOnce) {
   CacheMoves moves({Milliseconds(1200)});
   moves.onSaved(7, *settledQuery().store, kStart);
   moves.learnSaved({{8, 1}}, kStart);
--- a/tests/forward/forwarding_fixture.h
+++ b/tests/forward/forwarding_fixture.h
@@ -20,8 +20,8 @@
 inline const service_rollout::OrderKey kOrder(9);
 inline const ModelId kModel("m");
 
-/// Requests of host "h"; those to /model/ carry a prompt with a long common part.
-class PlainCallers : public CallerProtocol {
+/// Accepts requests of host "h"; those to /model/ have a prompt with a long common prefix.
+class TestCallerProtocol : public CallerProtocol {
  public:
   Result<Request> read(http::Request&& message) const override {
     Request request;
@@ -40,14 +40,15 @@
   http::Response refuse(const Error& error) const override { return http::errorResponse(error); }
 };
 
-/// Servers that seal what they answer with a header. A 503 says that the request was not run.
-class PlainServers : public ServerProtocol {
+/// Protocol of servers that mark their own answers with a header. A 503 proves that the request was
+/// not run.
+class TestServerProtocol : public ServerProtocol {
  public:
   static constexpr std::string_view kSeal = "X-Seal";
   static constexpr std::string_view kFetchFrom = "X-Fetch-From";
-  /// The server leaves.
+  /// Header of a server that is leaving.
   static constexpr std::string_view kLeaving = "X-Leaving";
-  /// It asks for so many milliseconds of rest.
+  /// Header that asks for a rest, in milliseconds.
   static constexpr std::string_view kRest = "X-Rest-Ms";
 
   http::Request encode(const Request& request, const Dispatch& dispatch) const override {
@@ -103,8 +104,8 @@
   }
 };
 
-/// A caller that keeps the status of its answer.
-class KeepingWriter : public http::ResponseWriter {
+/// Response writer that keeps the status of its answer.
+class StatusWriter : public http::ResponseWriter {
  public:
   using Done = boost::asio::awaitable<Result<void>>;
   Done send(http::Response response) override {
@@ -126,7 +127,7 @@
   bool aborted = false;
 };
 
-/// A server of one version on loopback; what it does is set by the test.
+/// Loopback server of one version, with a behaviour that the test sets.
 struct VersionServer {
   using Behaviour = std::function<boost::asio::awaitable<void>(http::ResponseWriter&)>;
 
@@ -146,7 +147,7 @@
     http::Response response;
     response.status = status;
     response.body = "done";
-    response.headers.set(PlainServers::kSeal, "1");
+    response.headers.set(TestServerProtocol::kSeal, "1");
     return response;
   }
   void answers(unsigned status) {
@@ -154,7 +155,7 @@
       co_await http::respond(writer, sealed(status));
     };
   }
-  /// Nothing listens there any more.
+  /// Closes the listening socket.
   void crash() { http.reset(); }
 
   std::string name;
@@ -165,8 +166,8 @@
   Endpoint endpoint;
 };
 
-/// A store that is never asked.
-class NoStore : public store::ObjectStore {
+/// An object store that always fails.
+class FailingStore : public store::ObjectStore {
  public:
   template <typename Value>
   using Answer = boost::asio::awaitable<Result<Value>>;
@@ -189,8 +190,8 @@
   static Error none() { return fail(ErrorKind::kStoreUnavailable, "there is no store"); }
 };
 
-/// A forwarder before servers of two versions. The test sets the rule and what the budget grants,
-/// and sees what the forwarder told.
+/// A forwarder with servers of two versions. The test sets the traffic rule and what the canary
+/// budget grants, and checks what the forwarder reports.
 class ForwardingFixture {
  public:
   using Rule = service_rollout::TrafficRule;
@@ -203,8 +204,9 @@
         quotaMetrics_(registry_),
         quarantineMetrics_(registry_),
         quarantine_(
-            {context.get_executor(), client_, aloneInTree(), [] { return false; }}, noStore_,
-            "records", quarantineMetrics_, [](const store::Object&, const Error&) {}, 1),
+            {context.get_executor(), client_, standaloneTreePlace(), [] { return false; }},
+            failingStore_, "records", quarantineMetrics_, [](const store::Object&, const Error&) {},
+            1),
         quota_({context.get_executor(), client_, [] { return quota::NodePlace{}; },
                 [] { return std::optional<Endpoint>(); }, [] { return std::vector<Endpoint>(); }},
                quota::QuotaBounds{}, quotaMetrics_, 1) {
@@ -231,12 +233,12 @@
     return added;
   }
 
-  /// Sends a request to the end. @return the status that the caller got.
+  /// Sends a request and waits for its answer. @return the status that the caller got.
   unsigned call(const std::string& target = "/safe/x") {
     if (!forwarder) {
-      forwarder = std::make_unique<Forwarder>(contextOf(), settings, GateSettings{}, 1);
+      forwarder = std::make_unique<Forwarder>(forwardContext(), settings, GateSettings{}, 1);
     }
-    KeepingWriter writer;
+    StatusWriter writer;
     http::Request message;
     message.target = target;
     bool done = false;
@@ -253,7 +255,7 @@
     const auto found = sent.find(track);
     return found == sent.end() ? 0 : found->second;
   }
-  std::size_t failuresTold() const {
+  std::size_t reportedFailures() const {
     return static_cast<std::size_t>(std::count_if(
         answers.begin(), answers.end(), [](const auto& answer) { return answer.failed; }));
   }
@@ -265,9 +267,9 @@
   std::unique_ptr<Forwarder> forwarder;
   Rule rule;
   std::function<bool()> budget = [] { return true; };
-  /// The epoch of the clock: the named weights were not read.
+  /// The epoch of the clock means that the named weights were not read.
   MonotonicTime weightsProvenAt = monotonicNow();
-  /// How often the budget was asked, and what was told.
+  /// Number of budget queries, and the dispatches and observations that were reported.
   std::size_t asked = 0;
   std::map<Track, std::size_t> sent;
   std::vector<service_rollout::AnswerObservation> answers;
@@ -288,8 +290,8 @@
     return made;
   }
 
-  /// The place of a node that belongs to no tree.
-  static relay::TreePlace aloneInTree() {
+  /// Position of a node that belongs to no relay tree.
+  static relay::TreePlace standaloneTreePlace() {
     return {{},
             [] { return std::nullopt; },
             [] { return std::vector<Endpoint>(); },
@@ -297,11 +299,11 @@
             [] { return false; },
             [] { return true; }};
   }
-  /// Of such a node.
-  server_limits::ServerLimitContext aloneContext() {
+  /// Context of a node that belongs to no relay tree.
+  server_limits::ServerLimitContext standaloneLimitContext() {
     return {context.get_executor(),
             client_,
-            aloneInTree(),
+            standaloneTreePlace(),
             [] { return std::vector<Endpoint>(); },
             [] { return true; },
             [] { return MonotonicTime(); },
@@ -312,7 +314,7 @@
             ""};
   }
 
-  ForwardContext contextOf() {
+  ForwardContext forwardContext() {
     routes::RouteTableContent content;
     content.version = ConfigVersion(1);
     content.routes = {route("safe", routes::RouteKind::kSafe, "app"),
@@ -351,15 +353,15 @@
   prometheus::Registry registry_;
   ForwardMetrics metrics_;
   quota::QuotaMetrics quotaMetrics_;
-  NoStore noStore_;
+  FailingStore failingStore_;
   quarantine::QuarantineMetrics quarantineMetrics_;
   quarantine::QuarantineNode quarantine_;
   quota::QuotaNode quota_;
   server_limits::ServerLimitMetrics serverLimitMetrics_{registry_};
-  server_limits::ServerLimitNode serverLimits_{aloneContext(), serverLimitMetrics_};
+  server_limits::ServerLimitNode serverLimits_{standaloneLimitContext(), serverLimitMetrics_};
   ServerCalls serverCalls_{{client_, serverProtocol_, pool, serverLimits_, metrics_}, 1};
-  PlainCallers callers_;
-  PlainServers serverProtocol_;
+  TestCallerProtocol callers_;
+  TestServerProtocol serverProtocol_;
 };
 
 }  // namespace calicodrift::forward
--- a/tests/forward/queue_admission_test.cc
+++ b/tests/forward/queue_admission_test.cc
@@ -21,7 +21,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(queue_admission, AdmissionFixture)
 
-BOOST_AUTO_TEST_CASE(whatCanBeginInTimeIsAdmitted) {
+BOOST_AUTO_TEST_CASE(shortWaitIsAdmitted) {
   for (int at = 0; at < 60'000; at += 100) {
     BOOST_TEST(!refused(300, 1, at));
   }
@@ -30,7 +30,7 @@
 BOOST_AUTO_TEST_CASE(aBurstIsServedLateRatherThanRefused) {
   BOOST_TEST(!refused(1500, 0, 0));
   BOOST_TEST(!refused(1500, 0, 1500));
-  // Beyond what callers wait for it is refused even then.
+  // Waits above the burst limit are refused even during a burst.
   BOOST_TEST(refused(1900, 0, 1500));
 }
 
@@ -38,23 +38,23 @@
   BOOST_TEST(!refused(1000, 0, 0));
   BOOST_TEST(refused(1000, 0, 1501));
   BOOST_TEST(!refused(400, 0, 1600));
-  // Shorter, but not short: the same overload goes on.
+  // The wait is below the limit but not short enough to end the congestion.
   BOOST_TEST(refused(500, 0, 1700));
   BOOST_TEST(!refused(200, 0, 1800));
-  // Another one, with time for a burst of its own.
+  // A new congestion, which is allowed a burst of its own.
   BOOST_TEST(!refused(1000, 0, 1900));
   BOOST_TEST(!refused(1000, 0, 3300));
   BOOST_TEST(refused(1000, 0, 3500));
 }
 
-BOOST_AUTO_TEST_CASE(theLessUrgentIsRefusedFirst) {
+BOOST_AUTO_TEST_CASE(lowerPriorityIsRefusedFirst) {
   BOOST_TEST(!refused(1000, 0, 0));
   BOOST_TEST(!refused(400, 0, 2000));
   BOOST_TEST(refused(400, 1, 2000));
   BOOST_TEST(!refused(300, 1, 2000));
 }
 
-BOOST_AUTO_TEST_CASE(theCallerIsToldToComeBackWhenTheQueueIsOver) {
+BOOST_AUTO_TEST_CASE(retryTimeIsTheWaitUpToTheMaximum) {
   BOOST_TEST((admission.refuse(Milliseconds(1900), kTarget, 0, kStart) == Milliseconds(1900)));
   BOOST_TEST((admission.refuse(Milliseconds(60'000), kTarget, 0, kStart) == Milliseconds(2000)));
 }
--- a/tests/forward/server_calls_test.cc
+++ b/tests/forward/server_calls_test.cc
@@ -1,5 +1,6 @@
-// Guards against calls that begin at a server after this node was told that it leaves or wants
-// rest, though it was chosen before, and against notices that are lost with the rest of an answer.
+// Guards against calls that begin on a server after this node was told that it is leaving or wants
+// a rest, although it was chosen before, and against notices that are lost with the rest of an
+// answer.
 
 #include "forward/server_calls.h"
 
@@ -16,7 +17,7 @@
     server = *pool.find(BackendId("a"));
   }
 
-  /// Starts a call; `outcome` has its answer once the context has run.
+  /// Starts a call; `outcome` holds its answer once the context has run.
   void begin(CallPurpose purpose) {
     outcome.reset();
     boost::asio::co_spawn(
@@ -38,11 +39,11 @@
     begin(purpose);
     finish();
   }
-  bool isOffered() { return !pool.candidates("app", ModelId(), monotonicNow()).empty(); }
+  bool isCandidate() { return !pool.candidates("app", ModelId(), monotonicNow()).empty(); }
   bool wasWithdrawn() const {
     return !*outcome && outcome->error().kind == ErrorKind::kServerWithdrawn;
   }
-  std::size_t arrived() const { return servers.front()->requests.size(); }
+  std::size_t requestsReceived() const { return servers.front()->requests.size(); }
   void answersWith(unsigned status, std::string_view header, const std::string& value) {
     servers.front()->behaviour = [status, header,
                                   value](http::ResponseWriter& writer) -> awaitable<void> {
@@ -60,13 +61,13 @@
 
 BOOST_AUTO_TEST_CASE(callThatWaitsForItsConnectionIsNotSentToAServerThatLeaves) {
   begin(CallPurpose::kRequest);
-  // It has begun to connect, and the news come before the connection.
+  // The call has begun to connect, and the notice arrives before the connection is made.
   context.restart();
   context.poll_one();
   pool.noteLeaving(fleet::keyOf(server), monotonicNow());
   finish();
   BOOST_TEST(wasWithdrawn());
-  BOOST_TEST(arrived() == 0U);
+  BOOST_TEST(requestsReceived() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(callThatWaitsForItsConnectionIsNotSentWithinARest) {
@@ -76,7 +77,7 @@
   pool.noteRest(server.id, monotonicNow() + std::chrono::seconds(1), monotonicNow());
   finish();
   BOOST_TEST(wasWithdrawn());
-  BOOST_TEST(arrived() == 0U);
+  BOOST_TEST(requestsReceived() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(callThatWaitsForItsConnectionIsNotSentToAServerThatLeftTheList) {
@@ -86,59 +87,60 @@
   pool.remove(server.id);
   finish();
   BOOST_TEST(wasWithdrawn());
-  BOOST_TEST(arrived() == 0U);
+  BOOST_TEST(requestsReceived() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(answersOfAnyStatusAndPurposeTellThatTheServerLeaves) {
+BOOST_AUTO_TEST_CASE(leavingNoticeIsReadFromAnswersOfAnyStatusAndPurpose) {
   for (const unsigned status : {200U, 404U, 500U, 503U}) {
     for (const CallPurpose purpose :
          {CallPurpose::kRequest, CallPurpose::kOrder, CallPurpose::kQuestion}) {
       CallsFixture fresh;
-      fresh.answersWith(status, PlainServers::kLeaving, "1");
+      fresh.answersWith(status, TestServerProtocol::kLeaving, "1");
       fresh.call(purpose);
-      BOOST_TEST(!fresh.isOffered());
+      BOOST_TEST(!fresh.isCandidate());
       fresh.call(CallPurpose::kRequest);
       BOOST_TEST(fresh.wasWithdrawn());
       fresh.call(CallPurpose::kOrder);
       BOOST_TEST(fresh.wasWithdrawn());
-      BOOST_TEST(fresh.arrived() == 1U);
-      // It may still be asked.
+      BOOST_TEST(fresh.requestsReceived() == 1U);
+      // Queries are still sent to a leaving server.
       fresh.call(CallPurpose::kQuestion);
-      BOOST_TEST(fresh.arrived() == 2U);
+      BOOST_TEST(fresh.requestsReceived() == 2U);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(headOfAnAnswerThatIsCutTellsThatTheServerLeaves) {
+BOOST_AUTO_TEST_CASE(leavingNoticeIsReadFromTheHeadOfABrokenAnswer) {
   servers.front()->behaviour = [](http::ResponseWriter& writer) -> awaitable<void> {
     http::Response head = VersionServer::sealed(200);
-    head.headers.set(PlainServers::kLeaving, "1");
+    head.headers.set(TestServerProtocol::kLeaving, "1");
     static_cast<void>(co_await writer.startStream(std::move(head)));
     writer.abort();
   };
   call(CallPurpose::kRequest);
   BOOST_TEST(!outcome->has_value());
-  BOOST_TEST(!isOffered());
+  BOOST_TEST(!isCandidate());
 }
 
 BOOST_AUTO_TEST_CASE(nothingIsSentWithinARest) {
-  answersWith(503, PlainServers::kRest, "60000");
+  answersWith(503, TestServerProtocol::kRest, "60000");
   call(CallPurpose::kRequest);
-  BOOST_TEST(!isOffered());
+  BOOST_TEST(!isCandidate());
   for (const CallPurpose purpose : {CallPurpose::kRequest, CallPurpose::kRequestWithUnit,
                                     CallPurpose::kOrder, CallPurpose::kQuestion}) {
     call(purpose);
     BOOST_TEST(wasWithdrawn());
   }
-  BOOST_TEST(arrived() == 1U);
+  BOOST_TEST(requestsReceived() == 1U);
 }
 
-/// Refused by the server for its rest, and by this node until its end.
-BOOST_AUTO_TEST_CASE(callerIsToldWhenTheFirstRestEnds) {
-  answersWith(503, PlainServers::kRest, "60000");
+/// The first request is refused by the server, which asks for the rest, and the second one by this
+/// node.
+BOOST_AUTO_TEST_CASE(requestsAreRefusedWithinARest) {
+  answersWith(503, TestServerProtocol::kRest, "60000");
   BOOST_TEST(ForwardingFixture::call("/safe/x") == 503U);
   BOOST_TEST(ForwardingFixture::call("/safe/x") == 503U);
-  BOOST_TEST(arrived() == 1U);
+  BOOST_TEST(requestsReceived() == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/forward/unread_weights_test.cc
+++ b/tests/forward/unread_weights_test.cc
@@ -7,8 +7,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(unread_weights, ForwardingFixture)
 
-/// A node that has read its servers and not the named weights knows nothing of which servers are
-/// outdated. Requests without a model go on.
+/// Guards against model requests on outdated servers: a node that has read the server list but not
+/// the named weights can't tell which servers are outdated. Requests without a model are still
+/// served.
 BOOST_AUTO_TEST_CASE(noModelRequestIsSentBeforeTheNamedWeightsWereRead) {
   VersionServer& server = addServer("old", kOld);
   weightsProvenAt = MonotonicTime{};
--- a/tests/forward/version_forwarding_test.cc
+++ b/tests/forward/version_forwarding_test.cc
@@ -14,19 +14,19 @@
 BOOST_AUTO_TEST_CASE(aCanaryFailureIsTriedAgainAtTheOldVersion) {
   VersionServer& old = addServer("old", kOld);
   VersionServer& fresh = addServer("new", kNew);
-  // More of the candidate's servers are there, and have not had the request.
+  // The candidate has another server that has not had the request.
   addServer("new2", kNew);
   fresh.answers(500);
   servers.back()->answers(500);
   BOOST_TEST(call() == 200U);
   BOOST_TEST(old.requests.size() == 1U);
   BOOST_TEST(fresh.requests.size() + servers.back()->requests.size() == 1U);
-  // The budget is asked once a request.
+  // The budget is asked once per request.
   BOOST_TEST(asked == 1U);
   BOOST_TEST(sentTo(Track::kCandidate) == 1U);
-  // A second try adds nothing to what may be exposed.
+  // A retry doesn't raise the permitted exposure.
   BOOST_TEST(sentTo(Track::kStable) == 0U);
-  BOOST_TEST(failuresTold() == 1U);
+  BOOST_TEST(reportedFailures() == 1U);
   BOOST_REQUIRE(answers.size() == 2U);
   BOOST_TEST((answers[0].track == Track::kCandidate && answers[0].failed));
   BOOST_TEST((answers[1].track == Track::kStable && !answers[1].failed));
@@ -37,9 +37,9 @@
   addServer("new", kNew).crash();
   BOOST_TEST(call() == 200U);
   BOOST_TEST(sentTo(Track::kCandidate) == 1U);
-  BOOST_TEST(failuresTold() == 0U);
+  BOOST_TEST(reportedFailures() == 0U);
   BOOST_TEST(answers.size() == 1U);
-  // It is known to be gone now, so that the budget isn't asked.
+  // The candidate is known to be unreachable now, so the budget isn't asked.
   BOOST_TEST(call() == 200U);
   BOOST_TEST(asked == 1U);
 }
@@ -66,7 +66,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(theRuleIsAskedAtEachChoice) {
-  // A node that was stopped for a while has a permit that has run out.
+  // After a pause of the node its rollout permit may have expired.
   VersionServer& old = addServer("old", kOld);
   VersionServer& fresh = addServer("new", kNew);
   BOOST_TEST(call() == 200U);
@@ -118,7 +118,7 @@
   };
   BOOST_TEST(call() == 200U);
   BOOST_TEST(fresh.requests.size() == 1U);
-  // Only where each of its servers had the request does the old version get it once more.
+  // The old version gets the request again only if each of the candidate's servers has had it.
   fresh.answers(500);
   old.answers(200);
   BOOST_TEST(call() == 200U);
@@ -133,12 +133,12 @@
   BOOST_TEST(call() == 200U);
   BOOST_TEST(fresh.requests.empty());
   BOOST_TEST(old.requests.size() == 1U);
-  // Nothing is told where no order is under way.
+  // Nothing is reported if no order is in progress.
   BOOST_TEST(sent.empty());
   BOOST_TEST(answers.empty());
 }
 
-BOOST_AUTO_TEST_CASE(aStreamThatALivingServerBreaksOffIsAFailure) {
+BOOST_AUTO_TEST_CASE(streamBrokenByARunningServerIsAFailure) {
   addServer("old", kOld);
   VersionServer& fresh = addServer("new", kNew);
   fresh.behaviour = [](http::ResponseWriter& writer) -> asio::awaitable<void> {
@@ -149,15 +149,15 @@
   call("/stream/x");
   BOOST_TEST(answers.empty());
   budget = [] { return false; };
-  asio::steady_timer timer(context, AnswerObserver::kBreakSettle);
+  asio::steady_timer timer(context, AnswerObserver::kCrashDetectionTime);
   timer.wait();
   BOOST_TEST(call() == 200U);
   BOOST_REQUIRE(answers.size() == 2U);
-  BOOST_TEST(failuresTold() == 1U);
+  BOOST_TEST(reportedFailures() == 1U);
   BOOST_TEST((answers[1].track == Track::kCandidate && answers[1].failed));
 }
 
-BOOST_AUTO_TEST_CASE(paceOfAStreamIsToldAgainstTheUsual) {
+BOOST_AUTO_TEST_CASE(paceRatioOfAStreamIsReported) {
   VersionServer& old = addServer("old", kOld);
   VersionServer& fresh = addServer("new", kNew);
   const auto streamer = [this](Milliseconds step) {
@@ -176,7 +176,7 @@
   old.behaviour = streamer(Milliseconds(5));
   fresh.behaviour = streamer(Milliseconds(100));
   budget = [] { return false; };
-  for (std::size_t answer = 0; answer < AnswerObserver::kLeastAnswers; ++answer) {
+  for (std::size_t answer = 0; answer < AnswerObserver::kMinBaselineAnswers; ++answer) {
     BOOST_TEST(call("/stream/x") == 200U);
   }
   budget = [] { return true; };
@@ -187,7 +187,7 @@
   BOOST_TEST(*answers.back().startRatio > 2.0);
 }
 
-BOOST_AUTO_TEST_CASE(theCandidateFetchesWhatTheStableVersionsHomeKeeps) {
+BOOST_AUTO_TEST_CASE(candidateFetchesCacheFromTheStableVersionsServer) {
   for (int number = 0; number < 4; ++number) {
     addServer("old" + std::to_string(number), kOld);
   }
@@ -204,7 +204,7 @@
   BOOST_TEST(call("/model/x") == 200U);
   BOOST_REQUIRE(fresh.requests.size() == 2U);
   for (const http::Request& request : fresh.requests) {
-    BOOST_TEST(request.headers.get(PlainServers::kFetchFrom) == keptAt);
+    BOOST_TEST(request.headers.get(TestServerProtocol::kFetchFrom) == keptAt);
   }
 }
 
@@ -224,13 +224,13 @@
   VersionServer& old = addServer("old", kOld);
   addServer("new", kNew);
   pool.addLoad(BackendId("new-model"), {1'000'000, 1'000'000}, monotonicNow());
-  // 40 tokens are prefilled in a millisecond: 250 ms, below the steady limit of 320.
+  // At 40 tokens per millisecond, 10,000 tokens take 250 ms, below the steady limit of 320 ms.
   pool.addLoad(BackendId("old-model"), {10'000, 10'000}, monotonicNow());
   BOOST_TEST(call("/model/x") == 200U);
   budget = [] { return false; };
   asio::steady_timer timer(context, Milliseconds(5));
   timer.wait();
-  // 600 ms: a burst that has just begun.
+  // 600 ms in total: a burst that has just begun.
   pool.addLoad(BackendId("old-model"), {14'000, 14'000}, monotonicNow());
   BOOST_TEST(call("/model/x") == 200U);
   BOOST_TEST(old.requests.size() == 2U);
--- a/tests/forward/waiting_dispatches_test.cc
+++ b/tests/forward/waiting_dispatches_test.cc
@@ -30,7 +30,7 @@
   BOOST_TEST((recalled == std::vector<std::string>{"older"}));
 }
 
-BOOST_AUTO_TEST_CASE(whatHasBegunIsNotRecalled) {
+BOOST_AUTO_TEST_CASE(startedDispatchIsNotRecalled) {
   WaitingDispatches::Guard begun(list, kModel, WeightsVersion(1), note("begun"));
   begun.end();
   BOOST_TEST(list.recall(kModel, WeightsVersion(2)) == 0U);
