--- a/tests/forward/answer_observer_test.cc
+++ b/tests/forward/answer_observer_test.cc
@@ -125,11 +125,12 @@
   const auto isUp = [](const BackendId& id) { return id != BackendId("crashed"); };
   // A crash is detected only after kCrashDetectionTime.
   BOOST_TEST(observer.takeBrokenStreams(always, kStart + Milliseconds(599)).empty());
-  const auto told = observer.takeBrokenStreams(isUp, kStart + AnswerObserver::kCrashDetectionTime);
-  BOOST_REQUIRE(told.size() == 1U);
-  BOOST_TEST((told[0].first == kOrder));
-  BOOST_TEST(told[0].second.failed);
-  BOOST_TEST((told[0].second.track == Track::kCandidate));
+  const auto observations =
+      observer.takeBrokenStreams(isUp, kStart + AnswerObserver::kCrashDetectionTime);
+  BOOST_REQUIRE(observations.size() == 1U);
+  BOOST_TEST((observations[0].first == kOrder));
+  BOOST_TEST(observations[0].second.failed);
+  BOOST_TEST((observations[0].second.track == Track::kCandidate));
   BOOST_TEST(observer.takeBrokenStreams(always, kStart + std::chrono::seconds(5)).empty());
 }
 
@@ -138,9 +139,9 @@
   observer.observe(broken("a"), kStart);
   observer.observe(broken("b"), kStart);
   observer.onRestarted(BackendId("a"));
-  const auto told =
+  const auto observations =
       observer.takeBrokenStreams(always, kStart + AnswerObserver::kCrashDetectionTime);
-  BOOST_TEST(told.size() == 1U);
+  BOOST_TEST(observations.size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(brokenStreamsOfAServerCountOncePerInterval) {
