--- a/src/routing/cache_beliefs.cc
+++ b/src/routing/cache_estimates.cc
@@ -1,4 +1,4 @@
-#include "routing/cache_beliefs.h"
+#include "routing/cache_estimates.h"
 
 #include <algorithm>
 
@@ -13,12 +13,13 @@
   return 0;
 }
 
-std::vector<PrefixHolder> CacheBeliefs::holders(const RouteRequest& request,
-                                                const CandidateSet& candidates, MonotonicTime now) {
+std::vector<PrefixHolder> CacheEstimates::holders(const RouteRequest& request,
+                                                  const CandidateSet& candidates,
+                                                  MonotonicTime now) {
   depths_.clear();
-  // A set that is nearly full may have lost older holders of the block, so the next block may name
-  // engines that this one does not.
-  constexpr std::size_t kCrowded = index::PrefixIndex::kWays - 4;
+  // A set that is nearly full may have evicted older holders of the block, so the next block may
+  // list engines that this one does not.
+  constexpr std::size_t kNearlyFull = index::PrefixIndex::kWays - 4;
   bool complete = false;
   for (std::size_t depth = 0; depth < request.blocks.size(); ++depth) {
     found_.clear();
@@ -29,7 +30,7 @@
     for (const index::EngineSlot engine : found_) {
       extend(engine, depth, complete);
     }
-    complete = found_.size() < kCrowded;
+    complete = found_.size() < kNearlyFull;
   }
   std::vector<PrefixHolder> holders;
   for (const Depth& item : depths_) {
@@ -41,7 +42,7 @@
   return holders;
 }
 
-void CacheBeliefs::extend(index::EngineSlot engine, std::size_t depth, bool contiguous) {
+void CacheEstimates::extend(index::EngineSlot engine, std::size_t depth, bool contiguous) {
   const auto same = std::find_if(depths_.begin(), depths_.end(),
                                  [engine](const Depth& item) { return item.engine == engine; });
   if (same == depths_.end()) {
@@ -53,8 +54,8 @@
   }
 }
 
-void CacheBeliefs::cached(const RouteRequest& request, const Candidate& backend,
-                          MonotonicTime now) {
+void CacheEstimates::recordCached(const RouteRequest& request, const Candidate& backend,
+                                  MonotonicTime now) {
   const auto engine = index_.slotOf(backend.id, backend.incarnation);
   if (!engine) {
     return;
@@ -64,7 +65,7 @@
   }
 }
 
-void CacheBeliefs::applyEvents(const CacheEventBatch& batch, MonotonicTime now) {
+void CacheEstimates::applyEvents(const CacheEventBatch& batch, MonotonicTime now) {
   const auto engine = index_.slotOf(batch.backend, batch.incarnation);
   if (!engine) {
     return;
--- a/src/routing/candidate_set.cc
+++ b/src/routing/candidate_set.cc
@@ -31,12 +31,12 @@
 void CandidateSet::put(Candidate candidate) {
   totalRequests_ += requestsAt(candidate);
   totalPrefillTokens_ += prefillTokensAt(candidate);
-  distant_ += candidate.nearby ? 0 : 1;
+  distantCount_ += candidate.nearby ? 0 : 1;
   if (const auto position = find(candidate.id)) {
     Candidate& old = candidates_[*position];
     totalRequests_ -= requestsAt(old);
     totalPrefillTokens_ -= prefillTokensAt(old);
-    distant_ -= old.nearby ? 0 : 1;
+    distantCount_ -= old.nearby ? 0 : 1;
     old = std::move(candidate);
     return;
   }
@@ -59,7 +59,7 @@
   const std::size_t last = candidates_.size() - 1;
   totalRequests_ -= requestsAt(candidates_[position]);
   totalPrefillTokens_ -= prefillTokensAt(candidates_[position]);
-  distant_ -= candidates_[position].nearby ? 0 : 1;
+  distantCount_ -= candidates_[position].nearby ? 0 : 1;
   ring_.erase(ring_.begin() + (&ringPointOf(position) - ring_.data()));
   rebuildStarts();
   positions_.erase(found);
@@ -91,7 +91,7 @@
 
 void CandidateSet::rebuildStarts() {
   constexpr unsigned kHashBits = 64;
-  // At least two, as a shift by all bits is undefined.
+  // At least two, because a shift by all bits is undefined.
   const std::size_t count = std::bit_ceil(std::max<std::size_t>(ring_.size(), 2));
   startsShift_ = kHashBits - static_cast<unsigned>(std::countr_zero(count));
   starts_.resize(count);
@@ -105,7 +105,7 @@
 }
 
 std::vector<std::size_t> CandidateSet::inAffinityOrder(std::uint64_t key, std::size_t count) const {
-  std::vector<Ranked> ranked = size() <= kSmall ? rankAll(key) : rankByProbes(key, count);
+  std::vector<Ranked> ranked = size() <= kSmallSetSize ? rankAll(key) : rankByProbes(key, count);
   const std::size_t wanted = std::min(count, ranked.size());
   const auto end = ranked.begin() + static_cast<std::ptrdiff_t>(wanted);
   std::partial_sort(ranked.begin(), end, ranked.end(), [](const Ranked& left, const Ranked& right) {
@@ -124,10 +124,10 @@
   if (allNearby()) {
     return inAffinityOrder(key, count);
   }
-  // Of a large set only some places are ranked: so many that a region with an eighth of the
-  // candidates has its part among them.
+  // In a large set only some candidates are ranked: enough that a region with an eighth of the
+  // candidates is represented.
   constexpr std::size_t kRegions = 8;
-  const std::size_t ranked = size() <= kSmall ? size() : count * kRegions;
+  const std::size_t ranked = size() <= kSmallSetSize ? size() : count * kRegions;
   std::vector<std::size_t> nearby;
   std::vector<std::size_t> others;
   for (const std::size_t position : inAffinityOrder(key, ranked)) {
@@ -159,12 +159,12 @@
 
 std::vector<CandidateSet::Ranked> CandidateSet::rankByProbes(std::uint64_t key,
                                                              std::size_t count) const {
-  // More probes than places: the nearest points of many probes are spread far more evenly over the
-  // candidates than the arcs of one probe.
-  constexpr std::size_t kProbesAPlace = 4;
+  // Several probes per requested position: the nearest points of many probes are spread far more
+  // evenly over the candidates than the arcs of one probe.
+  constexpr std::size_t kProbesPerPosition = 4;
   std::vector<Ranked> ranked;
-  ranked.reserve(count * kProbesAPlace);
-  for (std::size_t probe = 0; probe < count * kProbesAPlace; ++probe) {
+  ranked.reserve(count * kProbesPerPosition);
+  for (std::size_t probe = 0; probe < count * kProbesPerPosition; ++probe) {
     const std::uint64_t hash = hashPair(key, probe);
     const std::size_t first = firstPointFrom(hash);
     const RingPoint& point = ring_[first == ring_.size() ? 0 : first];
--- a/src/routing/candidate_set.h
+++ b/src/routing/candidate_set.h
@@ -12,44 +12,47 @@
 
 namespace calicodrift::routing {
 
-/// What a router believes of one usable back end at this moment.
+/// A router's view of one usable back end.
 struct Candidate {
   BackendId id;
-  /// Beliefs about its cache hold for this incarnation only.
+  /// The estimated cache content is valid for this incarnation only.
   Incarnation incarnation;
   WeightsVersion weights;
-  /// Requests that this router has dispatched and not yet seen the end of.
+  /// Requests that this router has dispatched and that have not ended yet, as far as it knows.
   std::size_t outstanding = 0;
   /// Prompt and output tokens of those requests.
   std::size_t outstandingTokens = 0;
-  /// Requests waiting or running there by its own report, which lags.
+  /// Requests waiting or running, from the back end's own report, which lags.
   std::size_t reportedRequests = 0;
-  /// Prompt tokens that it has yet to prefill, by the same report.
+  /// Prompt tokens that the back end has yet to prefill, from the same report.
   std::size_t reportedPrefillTokens = 0;
-  /// Prompt tokens to prefill that this router sent there since that report.
+  /// Prompt tokens to prefill that this router has sent since that report.
   std::size_t sentPrefillTokens = 0;
-  /// What other routers have under way there, as they said a moment ago.
+  /// Requests, tokens and prefill tokens that other routers have in progress there, as they last
+  /// reported.
   std::size_t peerRequests = 0;
   std::size_t peerTokens = 0;
   std::size_t peerPrefillTokens = 0;
-  /// Requests that it runs at once, and tokens that fit into its memory; 0: not known.
+  /// Number of requests that it runs concurrently, and of tokens that fit into its memory; 0 if
+  /// unknown.
   std::size_t slots = 0;
   std::size_t memoryTokens = 0;
-  /// How long streams that run there may pause, in milliseconds; 0: it does not matter.
+  /// Longest allowed pause of the streams that run there, in milliseconds; 0 if there is no bound.
   double pauseBoundMs = 0;
-  /// Prompt tokens that it prefills in a millisecond.
+  /// Prefill rate in prompt tokens per millisecond.
   double prefillTokensPerMs = kDefaultPrefillTokensPerMs;
-  /// The way there and back, in milliseconds.
+  /// Network round-trip time in milliseconds.
   double wayMs = 0;
-  /// Whether it stands in the router's own region.
+  /// Whether the back end is in the router's own region.
   bool nearby = true;
 
   static constexpr double kDefaultPrefillTokensPerMs = 8.0;
 };
 
-/// The usable back ends of one model and weights version (or one service). Kept up to date by
-/// small changes, so that no request pays for the number of back ends; a decision looks at a few of
-/// them only. Positions change when a candidate leaves; they hold within one decision.
+/// The usable back ends of one model and weights version, or of one service. Updated incrementally,
+/// so that the cost of a request does not depend on the number of back ends; a decision examines
+/// only a few of them. Positions change when a candidate is removed, so they are valid within one
+/// decision only.
 class CandidateSet {
  public:
   bool empty() const { return candidates_.empty(); }
@@ -57,31 +60,31 @@
   const Candidate& operator[](std::size_t position) const { return candidates_[position]; }
   std::optional<std::size_t> find(const BackendId& id) const;
 
-  /// Adds a candidate or replaces the one of the same id.
+  /// Adds a candidate or replaces the one with the same id.
   void put(Candidate candidate);
   void erase(const BackendId& id);
 
-  /// Up to `count` positions in the order of affinity to `key`. The order depends on the key and
-  /// the ids alone, so all routers agree, and a change of one back end moves only its own keys.
+  /// Returns up to `count` positions in order of affinity to `key`. The order depends only on the
+  /// key and the ids, so all routers agree, and a change of one back end moves only its own keys.
   /// Small sets are ranked by rendezvous hashing, large ones by multi-probe consistent hashing in
   /// O(count).
   std::vector<std::size_t> inAffinityOrder(std::uint64_t key, std::size_t count) const;
-  /// Up to `count` positions of nearby candidates in the order of affinity to `key`, and behind
-  /// them up to `count` others in that order. As inAffinityOrder() where all are nearby.
+  /// Returns up to `count` positions of nearby candidates in order of affinity to `key`, followed
+  /// by up to `count` others in that order. Equals inAffinityOrder() if all are nearby.
   std::vector<std::size_t> inAffinityOrderNearbyFirst(std::uint64_t key, std::size_t count) const;
   /// Sorts the first `count` of the positions by affinity to `key`.
   void sortByAffinity(std::vector<std::size_t>& positions, std::size_t count,
                       std::uint64_t key) const;
-  /// Sum of max(outstanding, reportedRequests) over all candidates.
+  /// Sum of requestsAt() over all candidates.
   std::size_t totalRequests() const { return totalRequests_; }
   /// Prompt tokens that all candidates have yet to prefill.
   std::size_t totalPrefillTokens() const { return totalPrefillTokens_; }
-  /// Whether any candidate stands in the router's own region.
-  bool anyNearby() const { return distant_ < candidates_.size(); }
-  bool allNearby() const { return distant_ == 0; }
+  /// Whether any candidate is in the router's own region.
+  bool anyNearby() const { return distantCount_ < candidates_.size(); }
+  bool allNearby() const { return distantCount_ == 0; }
 
-  /// Sets up to this size are ranked or scanned as a whole.
-  static constexpr std::size_t kSmall = 256;
+  /// Sets up to this size are ranked or scanned completely.
+  static constexpr std::size_t kSmallSetSize = 256;
 
  private:
   struct RingPoint {
@@ -95,7 +98,7 @@
 
   std::vector<Ranked> rankAll(std::uint64_t key) const;
   std::vector<Ranked> rankByProbes(std::uint64_t key, std::size_t count) const;
-  /// Index of the first ring point whose hash is not below `hash`; the ring's size if there is
+  /// Index of the first ring point whose hash is not below `hash`; the size of the ring if there is
   /// none.
   std::size_t firstPointFrom(std::uint64_t hash) const;
   RingPoint& ringPointOf(std::size_t position);
@@ -104,25 +107,25 @@
   std::vector<Candidate> candidates_;
   std::vector<std::uint64_t> idHashes_;
   std::unordered_map<BackendId, std::size_t> positions_;
-  /// One point a candidate, sorted by hash.
+  /// One point per candidate, sorted by hash.
   std::vector<RingPoint> ring_;
-  /// For each value of the hash's upper bits, where its points begin. Saves a binary search: the
-  /// hashes are uniform, so about one point shares the same upper bits.
+  /// For each value of the hash's upper bits, the index of its first ring point. Replaces a binary
+  /// search: the hashes are uniform, so about one point shares the same upper bits.
   std::vector<std::uint32_t> starts_;
   unsigned startsShift_ = 0;
   std::size_t totalRequests_ = 0;
   std::size_t totalPrefillTokens_ = 0;
-  /// Candidates that are not nearby.
-  std::size_t distant_ = 0;
+  /// Number of candidates that are not nearby.
+  std::size_t distantCount_ = 0;
 };
 
-/// Prompt tokens that wait there: the report, and what this router has sent since.
+/// Prompt tokens queued on the candidate: its report, and what this router and others have sent.
 std::size_t prefillTokensAt(const Candidate& candidate);
 
-/// The requests that a candidate has, by the routers' counts or its report, whichever is more.
+/// Requests on the candidate: the larger of the routers' count and its own report.
 std::size_t requestsAt(const Candidate& candidate);
 
-/// Tokens of the requests that routers have under way there.
+/// Tokens of the requests that routers have in progress on the candidate.
 std::size_t tokensAt(const Candidate& candidate);
 
 }  // namespace calicodrift::routing
--- a/src/routing/least_outstanding.cc
+++ b/src/routing/least_outstanding.cc
@@ -9,8 +9,8 @@
 namespace calicodrift::routing {
 namespace {
 
-/// The candidate that costs least by its way and the requests that wait there for a place. Nearby
-/// ones come first among equals.
+/// Returns the candidate with the lowest sum of round-trip time and wait for a slot. Nearby
+/// candidates come first among equals.
 std::size_t cheapest(const CandidateSet& candidates, const std::vector<std::size_t>& positions) {
   const auto cost = [&candidates](std::size_t position) {
     const Candidate& candidate = candidates[position];
@@ -21,10 +21,10 @@
       [&cost](std::size_t left, std::size_t right) { return cost(left) < cost(right); });
 }
 
-/// Those in the region of the cheapest candidate, or as far as it: what is near while it bears the
-/// load. All of them where no distance is known.
-std::vector<std::size_t> withinReach(const CandidateSet& candidates,
-                                     std::vector<std::size_t> positions) {
+/// Keeps the candidates in the region of the cheapest one, or at most as distant as it: nearby ones
+/// while they can take the load. Keeps all of them if no distance is known.
+std::vector<std::size_t> inNearestRegion(const CandidateSet& candidates,
+                                         std::vector<std::size_t> positions) {
   if (candidates.allNearby()) {
     return positions;
   }
@@ -43,7 +43,7 @@
     const Candidate& candidate = candidates[position];
     return std::tuple(candidate.outstandingTokens, candidate.reportedRequests);
   };
-  const std::vector<std::size_t> positions = withinReach(
+  const std::vector<std::size_t> positions = inNearestRegion(
       candidates, withoutAvoided(request, candidates, sampledPositions(candidates, random_)));
   std::size_t best = positions.front();
   std::size_t equals = 0;
@@ -54,7 +54,7 @@
       equals = 1;
     } else if (std::is_eq(order)) {
       ++equals;
-      // Each of the equals is kept with the same chance.
+      // Reservoir sampling: each of the equals is kept with the same probability.
       if (std::uniform_int_distribution<std::size_t>(1, equals)(random_) == 1) {
         best = position;
       }
--- a/src/routing/least_outstanding.h
+++ b/src/routing/least_outstanding.h
@@ -4,11 +4,11 @@
 
 namespace calicodrift::routing {
 
-/// Takes the back end with the fewest outstanding tokens of this router and, among equals, the
-/// fewest reported requests; ties are broken at random so that routers don't move together. Of a
-/// large set it weighs a random sample (the power of a few choices). Only back ends of the router's
-/// own region are weighed while requests would wait there for less long than the way to others
-/// takes.
+/// Chooses the back end with the fewest outstanding tokens of this router and, among equals, the
+/// fewest reported requests; ties are broken at random so that routers don't choose in lockstep.
+/// From a large set it compares a random sample (the power of a few choices). Only back ends of the
+/// router's own region are compared while the wait there is shorter than the network round trip to
+/// others.
 class LeastOutstanding : public Policy {
  public:
   static constexpr std::string_view kName = "LeastOutstanding";
--- a/src/routing/nested_prefix_affinity.h
+++ b/src/routing/nested_prefix_affinity.h
@@ -1,20 +1,21 @@
 #pragma once
 
-#include "routing/cache_beliefs.h"
+#include "routing/cache_estimates.h"
 #include "routing/policy.h"
 #include "routing/prefix_heat.h"
 
 namespace calicodrift::routing {
 
-/// Gives every prefix a home: as many engines, in the order of affinity to the prefix, as its
-/// measured share of the load needs. Walking down the prompt, each deeper and less asked-for prefix
-/// narrows the home within the home of the prefix above it, until one engine is left. A hot prefix
-/// so spreads over several engines and gathers again when it cools, and all routers agree without
-/// a message, as they see the same shares.
+/// Assigns a home to every prefix: the first engines in order of affinity to the prefix, as many as
+/// its measured share of the load requires. Along the prompt, each longer and less requested prefix
+/// narrows the home within the home of the shorter prefix, until one engine is left. A hot prefix
+/// therefore spreads over several engines and returns to one when it cools, and all routers agree
+/// without communication because they measure the same shares.
 ///
-/// The home is preferred, not imposed: it is weighed by the estimated time to the first token
-/// against engines that are believed to hold more of the prompt, the next ones in the order of
-/// affinity, and a random few. Leaving the home costs extra, since it makes a second copy.
+/// The home is preferred but not required: its estimated time to first token is compared with
+/// engines that are believed to hold more of the prompt, with the next engines in order of
+/// affinity, and with a few random ones. Choosing an engine outside the home costs extra, because
+/// it creates a second copy.
 class NestedPrefixAffinity : public Policy {
  public:
   static constexpr std::string_view kName = "NestedPrefixAffinity";
@@ -29,36 +30,37 @@
   void onCacheEvents(const CacheEventBatch& batch, MonotonicTime now) override;
   void onBackendLost(const BackendId& backend) override;
 
-  /// The engines that share the load of the prompt's hottest prefixes, best first, and after them
-  /// those that help out when all of these are busy.
+  /// The engines that share the load of the prompt's hottest prefixes, best first, followed by
+  /// those that take over when all of these are busy.
   struct Home {
     std::vector<std::size_t> positions;
-    /// How many of the positions are the home.
+    /// Number of leading positions that form the home.
     std::size_t width = 1;
   };
-  /// Counts the request in the measured heat.
+  /// Also counts the request for the measured heat.
   Home homeOf(const RouteRequest& request, const CandidateSet& candidates, MonotonicTime now);
 
  private:
-  /// What is known of all holders of a prompt together.
-  struct Knowledge {
-    /// Other routers' dispatches are known too, by cache events, or there are none.
-    bool informed = false;
-    /// The longest prefix that any engine is believed to hold.
+  /// Combined information about all holders of a prompt.
+  struct HolderSummary {
+    /// Whether other routers' dispatches are known, from cache events, or there are no other
+    /// routers.
+    bool seesAllDispatches = false;
+    /// Length of the longest prefix that any engine is believed to hold.
     std::size_t mostCachedBlocks = 0;
-    /// Of all candidates.
+    /// Mean over all candidates.
     double meanQueueMs = 0;
   };
-  Knowledge knowledgeOf(const RouteRequest& request, const std::vector<PrefixHolder>& holders,
-                        MonotonicTime now) const;
-  /// What another copy of blocks that are cached elsewhere costs the fleet.
+  HolderSummary summarizeHolders(const RouteRequest& request,
+                                 const std::vector<PrefixHolder>& holders, MonotonicTime now) const;
+  /// Cost to the fleet of another copy of blocks that are cached elsewhere, in milliseconds.
   static double copyMs(const RouteRequest& request, const Candidate& candidate, std::size_t cached,
-                       const Knowledge& knowledge, bool atHome);
-  /// Engines that the prefix's share of the load needs.
+                       const HolderSummary& summary, bool atHome);
+  /// Number of engines that the prefix's share of the load requires.
   std::size_t widthOf(BlockHash prefix, std::size_t engines, MonotonicTime now) const;
 
   Random random_;
-  CacheBeliefs beliefs_;
+  CacheEstimates cacheEstimates_;
   PrefixHeat heat_;
   std::optional<MonotonicTime> lastEvents_;
 };
--- a/src/routing/policy.cc
+++ b/src/routing/policy.cc
@@ -8,7 +8,7 @@
 std::vector<std::size_t> sampledPositions(const CandidateSet& candidates, Random& random) {
   constexpr std::size_t kSamples = 16;
   std::vector<std::size_t> positions;
-  if (candidates.size() <= CandidateSet::kSmall) {
+  if (candidates.size() <= CandidateSet::kSmallSetSize) {
     positions.resize(candidates.size());
     std::iota(positions.begin(), positions.end(), 0);
     return positions;
--- a/src/routing/policy.h
+++ b/src/routing/policy.h
@@ -15,45 +15,46 @@
 #include "common/priority.h"
 #include "routing/candidate_set.h"
 
-/// Routing policies: which back end serves a request. The same code runs in the live router and in
-/// the virtual-time replay; nothing here reads a clock or does I/O.
+/// Routing policies, which choose the back end for a request. The live router and the virtual-time
+/// replay run the same code; nothing here reads a clock or does I/O.
 namespace calicodrift::routing {
 
-/// What a policy may know of a request.
+/// The properties of a request that a policy may use.
 struct RouteRequest {
   TenantId tenant;
   ModelId model;
   Priority priority = Priority::kNormal;
-  /// Chain hashes of the prompt's whole blocks.
+  /// Chained hashes of the prompt's complete blocks.
   std::vector<BlockHash> blocks;
   std::size_t promptTokens = 0;
   std::size_t outputTokens = 0;
   /// Prompt tokens in one block.
   std::size_t blockTokens = kDefaultBlockTokens;
-  /// Back ends that already failed this request; used again only where there is no other.
+  /// Back ends that already failed this request; used again only if there is no other.
   std::vector<BackendId> avoided;
-  /// Leading blocks that other requests may share; the rest is the request's own.
+  /// Number of leading blocks that other requests may share; the rest is specific to the request.
   std::size_t sharedBlocks = 0;
-  /// Prompt tokens in those blocks; 0 where it is not known.
+  /// Prompt tokens in those blocks; 0 if unknown.
   std::size_t sharedTokens = 0;
-  /// This router decides for every request that shares the prompt's first blocks, so it knows of
-  /// all that was sent. Otherwise other routers' dispatches are known by cache events only.
+  /// Whether this router decides all requests that share the prompt's first blocks, so that it
+  /// knows all dispatches. Otherwise other routers' dispatches are known from cache events only.
   bool decidedHereOnly = false;
 
   static constexpr std::size_t kDefaultBlockTokens = 512;
 };
 
-/// A change of an engine's cache as the engine published it.
+/// A change of an engine's cache, as published by the engine.
 struct CacheEvent {
   bool stored = true;
   BlockHash block;
 };
 
-/// Consecutive cache events of one engine. Batches come late and some never come.
+/// Consecutive cache events of one engine. Batches arrive late, and some are lost.
 struct CacheEventBatch {
   BackendId backend;
   Incarnation incarnation;
-  /// Number of the first event; a step over more than the last batch's events is a gap.
+  /// Sequence number of the first event; there is a gap if it exceeds the last batch's by more than
+  /// the number of that batch's events.
   std::uint64_t firstSequence = 0;
   std::vector<CacheEvent> events;
 };
@@ -62,48 +63,52 @@
 
 /// A policy's decision.
 struct Choice {
-  /// Position in the candidates.
+  /// Position in the candidate set.
   std::size_t index = 0;
-  /// Blocks of the request that the policy believes to be cached there.
+  /// Number of the request's blocks that the policy believes to be cached there.
   std::size_t expectedCachedBlocks = 0;
-  /// For `explain`: why this one.
+  /// Reason for the choice, for `explain`.
   std::string_view reason;
   /// Position of another candidate that is believed to hold more of the prompt.
   std::optional<std::size_t> holder = std::nullopt;
 };
 
-/// Chooses a back end for a request. One policy a file; the bundle names it by its class's name.
+/// Chooses a back end for each request. Each policy has its own file; bundles refer to it by its
+/// class name.
 class Policy {
  public:
   virtual ~Policy() = default;
-  /// The class's name, as in the bundle.
+  /// The class name, as used in bundles.
   virtual std::string_view name() const = 0;
-  /// @param candidates usable back ends of the request's model; never empty.
+  /// @param candidates usable back ends of the request's model; must not be empty.
   virtual Choice choose(const RouteRequest& request, const CandidateSet& candidates,
                         MonotonicTime now) = 0;
-  /// The request left for the chosen back end.
+  /// Called after the request was sent to the chosen back end.
   virtual void onDispatched(const RouteRequest& /*request*/, const Candidate& /*backend*/,
                             MonotonicTime /*now*/) {}
-  /// The back end answered; `cachedTokens` of the prompt came from its cache.
+  /// Called after the back end answered; `cachedTokens` of the prompt came from its cache.
   virtual void onCompleted(const RouteRequest& /*request*/, const Candidate& /*backend*/,
                            std::size_t /*cachedTokens*/, MonotonicTime /*now*/) {}
   virtual void onCacheEvents(const CacheEventBatch& /*batch*/, MonotonicTime /*now*/) {}
-  /// The back end is gone or came back as another incarnation; every belief about it is void.
+  /// Called when the back end was removed or came back as another incarnation; discards all
+  /// information about it.
   virtual void onBackendLost(const BackendId& /*backend*/) {}
 };
 
-/// Positions to weigh where no order is asked for: all of a small set, a random few of a large one.
+/// Positions to compare if no order is required: all of a small set, a random sample of a large
+/// one.
 std::vector<std::size_t> sampledPositions(const CandidateSet& candidates, Random& random);
 
-/// The positions without those that already failed this request; all of them where none is left.
+/// Returns the positions without those that already failed this request, or all of them if none
+/// would remain.
 std::vector<std::size_t> withoutAvoided(const RouteRequest& request, const CandidateSet& candidates,
                                         std::vector<std::size_t> positions);
 
-/// Makes a policy by its name, or null for an unknown one.
-/// @param seed for the policies that draw random numbers; equal seeds give equal decisions.
+/// Creates a policy by its name; returns null if the name is unknown.
+/// @param seed seed of the policies that use random numbers; equal seeds give equal decisions.
 std::unique_ptr<Policy> makePolicy(std::string_view name, std::uint64_t seed);
 
-/// Names of all policies, in the order of the documentation.
+/// Names of all policies, in documentation order.
 const std::vector<std::string_view>& policyNames();
 
 }  // namespace calicodrift::routing
--- a/src/routing/prefix_hash_bounded_load.cc
+++ b/src/routing/prefix_hash_bounded_load.cc
@@ -21,12 +21,13 @@
       static_cast<double>(candidates.totalRequests() + 1) / static_cast<double>(candidates.size());
   const double bound = std::max(1.0, mean * kLoadFactor);
   const std::uint64_t key = affinityKey(request, kAffinityBlocks);
-  // The load bound is above the mean, so a small set always holds a candidate below it. In a large
-  // set all places are above it only when most of the fleet is; then the least loaded is taken.
-  const std::size_t places =
-      candidates.size() <= CandidateSet::kSmall ? candidates.size() : kPlaces;
+  // The load bound is above the mean, so a small set always contains a candidate below it. In a
+  // large set all examined candidates exceed it only if most of the fleet does; then the least
+  // loaded one is chosen.
+  const std::size_t examined =
+      candidates.size() <= CandidateSet::kSmallSetSize ? candidates.size() : kExaminedPositions;
   const std::vector<std::size_t> positions =
-      withoutAvoided(request, candidates, candidates.inAffinityOrder(key, places));
+      withoutAvoided(request, candidates, candidates.inAffinityOrder(key, examined));
   std::size_t best = positions.front();
   for (const std::size_t position : positions) {
     const std::size_t requests = requestsAt(candidates[position]);
--- a/src/routing/prefix_hash_bounded_load.h
+++ b/src/routing/prefix_hash_bounded_load.h
@@ -4,8 +4,9 @@
 
 namespace calicodrift::routing {
 
-/// Ranks the back ends by a rendezvous hash of the prompt's first blocks and takes the first whose
-/// load stays within kLoadFactor of the mean. Needs no index: every router ranks alike.
+/// Ranks the back ends by a rendezvous hash of the prompt's first blocks and chooses the first one
+/// whose load is within kLoadFactor of the mean. Needs no index: every router computes the same
+/// ranking.
 class PrefixHashBoundedLoad : public Policy {
  public:
   static constexpr std::string_view kName = "PrefixHashBoundedLoad";
@@ -14,11 +15,12 @@
                 MonotonicTime now) override;
 
  private:
-  /// Blocks that decide the affinity; prompts that differ only later stay together.
+  /// Number of blocks that determine the affinity; prompts that differ only in later blocks stay
+  /// together.
   static constexpr std::size_t kAffinityBlocks = 4;
   static constexpr double kLoadFactor = 1.25;
-  /// Places of the order that a decision looks at in a large set.
-  static constexpr std::size_t kPlaces = 16;
+  /// Number of ranked candidates that a decision examines in a large set.
+  static constexpr std::size_t kExaminedPositions = 16;
 };
 
 }  // namespace calicodrift::routing
--- a/src/routing/prefix_heat.cc
+++ b/src/routing/prefix_heat.cc
@@ -33,13 +33,13 @@
 }
 
 double PrefixHeat::shareOf(BlockHash prefix, MonotonicTime now) const {
-  constexpr double kImaginedWork = 50;
+  constexpr double kVirtualWork = 50;
   constexpr double kNoise = 2;
   const Counter* set = &counters_[(prefix.value() & setMask_) * kWays];
   for (std::size_t way = 0; way < kWays; ++way) {
     if (set[way].prefix == prefix.value()) {
       const double beyondNoise = std::max(0.0, decayed(set[way], now) - kNoise);
-      return beyondNoise / (decayed(total_, now) + kImaginedWork);
+      return beyondNoise / (decayed(total_, now) + kVirtualWork);
     }
   }
   return 0;
--- a/src/routing/prefix_heat.h
+++ b/src/routing/prefix_heat.h
@@ -9,18 +9,19 @@
 
 namespace calicodrift::routing {
 
-/// Measures which share of a router's recent work each prefix has. Counts halve with every
-/// half-life, so a prefix that is asked for no more cools by itself. Bounded: the coolest prefix of
-/// a small set makes room for a new one, so only prefixes that matter stay.
+/// Measures the share of a router's recent work that each prefix has. Counts halve with every
+/// half-life, so a prefix that is no longer requested cools automatically. Bounded: a new prefix
+/// replaces the coolest one of a small set, so only relevant prefixes are kept.
 class PrefixHeat {
  public:
   PrefixHeat(std::size_t prefixes, Milliseconds halfLife);
 
-  /// Counts work for the prefix; `count` once for each request and prefix, after countTotal().
+  /// Counts work for the prefix; called once per request and prefix, after countTotal().
   void count(BlockHash prefix, double work, MonotonicTime now);
   void countTotal(double work, MonotonicTime now);
-  /// From 0 to 1, on the low side while little was counted: a few requests for a prefix are no sign
-  /// of heat, and a number of imagined requests for others is added to the total.
+  /// Returns the share, from 0 to 1, biased low while little has been counted: a few requests for a
+  /// prefix are no evidence of heat, so a number of virtual requests for other prefixes is added to
+  /// the total.
   double shareOf(BlockHash prefix, MonotonicTime now) const;
 
  private:
--- a/src/routing/prefix_home.cc
+++ b/src/routing/prefix_home.cc
@@ -8,13 +8,13 @@
 namespace calicodrift::routing {
 namespace {
 
-/// Places in the order of affinity that a decision looks at beside the home, and as many in other
-/// regions with one more.
-constexpr std::size_t kOtherPlaces = 4;
-/// What leaving the home costs beside the move: another copy that pushes others out.
-constexpr double kLeaveMs = 200;
-/// Time to move one token of the common part, as a fraction of the time to prefill it.
-constexpr double kMoveShare = 1.0;
+/// Number of candidates in affinity order that a decision examines besides the home; one more than
+/// this in other regions.
+constexpr std::size_t kAlternatives = 4;
+/// Cost of leaving the home in addition to the transfer: another copy that evicts others.
+constexpr double kLeaveHomeMs = 200;
+/// Time to transfer one token of the common prefix, relative to the time to prefill it.
+constexpr double kTransferCostRatio = 1.0;
 
 std::size_t sharedBlocksOf(const RouteRequest& request) {
   const std::size_t shared = std::min(request.sharedBlocks, request.blocks.size());
@@ -26,23 +26,23 @@
   return shared > 0 ? request.blocks[shared - 1].value() : hashBytes(request.tenant.value());
 }
 
-/// Time to read the common part anew.
+/// Time to prefill the common prefix without cache.
 double sharedPrefillMs(const RouteRequest& request, const Candidate& candidate) {
   const std::size_t shared = std::min(request.sharedBlocks, request.blocks.size());
   return prefillMs(request, candidate, 0) - prefillMs(request, candidate, shared);
 }
 
-/// Where the common part is kept: in each region where reading it there once more costs less than
-/// the way to the home of the whole fleet, else there.
-/// @param nearest the first place in the order of affinity, of nearby ones where there are any.
+/// The home of the common prefix: in the router's own region if prefilling it there again costs
+/// less than the round trip to the home of the whole fleet, otherwise the latter.
+/// @param nearest the first position in affinity order, among the nearby ones if there are any.
 std::size_t homeOf(const RouteRequest& request, const CandidateSet& candidates,
                    std::size_t nearest) {
   if (candidates.allNearby() || !candidates.anyNearby()) {
     return nearest;
   }
-  const std::size_t ofFleet = candidates.inAffinityOrder(keyOf(request), 1).front();
-  const Candidate& candidate = candidates[ofFleet];
-  return sharedPrefillMs(request, candidate) > candidate.wayMs ? ofFleet : nearest;
+  const std::size_t fleetHome = candidates.inAffinityOrder(keyOf(request), 1).front();
+  const Candidate& candidate = candidates[fleetHome];
+  return sharedPrefillMs(request, candidate) > candidate.wayMs ? fleetHome : nearest;
 }
 
 }  // namespace
@@ -51,14 +51,14 @@
                           MonotonicTime /*now*/) {
   const std::size_t shared = std::min(request.sharedBlocks, request.blocks.size());
   const std::vector<std::size_t> order = candidates.inAffinityOrderNearbyFirst(
-      keyOf(request), 1 + kOtherPlaces + request.avoided.size());
+      keyOf(request), 1 + kAlternatives + request.avoided.size());
   const std::size_t home = homeOf(request, candidates, order.front());
   Choice best;
   double bestMs = std::numeric_limits<double>::infinity();
   for (const std::size_t position : withoutAvoided(request, candidates, order)) {
     const Candidate& candidate = candidates[position];
     const double sharedMs = sharedPrefillMs(request, candidate);
-    const double leaveMs = position == home ? 0 : kLeaveMs + kMoveShare * sharedMs;
+    const double leaveMs = position == home ? 0 : kLeaveHomeMs + kTransferCostRatio * sharedMs;
     const double ms = candidate.wayMs + queueDelayMs(candidate) +
                       admissionDelayMs(request, candidate) + leaveMs +
                       streamPauseMs(candidate, uncachedTokens(request, shared));
--- a/src/routing/prefix_home.h
+++ b/src/routing/prefix_home.h
@@ -4,13 +4,14 @@
 
 namespace calicodrift::routing {
 
-/// Sends all requests that share a prompt's common part to one back end, its home: the first in the
-/// order of affinity to the last block that others may share. All routers agree on it without a
-/// message. A common part that is read in less time than the way between regions takes has a home
-/// in each region: the first in the order there. Others compete by cost, with the way. A request
-/// leaves a home that is busier than the next ones in the order by more than it costs to move the
-/// common part there, or where its prompt would make the streams that run there pause for longer
-/// than they may; the home is then named as the holder to move it from.
+/// Sends all requests that share a prompt's common prefix to one back end, its home: the first in
+/// order of affinity to the last block that other requests may share. All routers agree on it
+/// without communication. A common prefix that is prefilled in less time than the round trip
+/// between regions takes has a home in each region: the first in the order there. Other back ends
+/// compete by cost, including the round trip. A request leaves the home if that is busier than the
+/// next back ends in the order by more than it costs to move the common prefix there, or if its
+/// prompt would pause the streams that run on the home for longer than allowed; the home is then
+/// returned as the holder from which to fetch the prefix.
 class PrefixHome : public Policy {
  public:
   static constexpr std::string_view kName = "PrefixHome";
--- a/src/routing/prefix_index_with_load.cc
+++ b/src/routing/prefix_index_with_load.cc
@@ -8,11 +8,11 @@
 namespace calicodrift::routing {
 
 PrefixIndexWithLoad::PrefixIndexWithLoad(std::uint64_t seed)
-    : random_(seed), beliefs_(kBeliefBudget, kBeliefTerm) {}
+    : random_(seed), cacheEstimates_(kMaxCacheEntries, kCacheEntryTtl) {}
 
 Choice PrefixIndexWithLoad::choose(const RouteRequest& request, const CandidateSet& candidates,
                                    MonotonicTime now) {
-  const std::vector<PrefixHolder> holders = beliefs_.holders(request, candidates, now);
+  const std::vector<PrefixHolder> holders = cacheEstimates_.holders(request, candidates, now);
   std::vector<std::size_t> positions = sampledPositions(candidates, random_);
   for (const PrefixHolder& holder : holders) {
     positions.push_back(holder.position);
@@ -33,20 +33,20 @@
 
 void PrefixIndexWithLoad::onDispatched(const RouteRequest& request, const Candidate& backend,
                                        MonotonicTime now) {
-  beliefs_.cached(request, backend, now);
+  cacheEstimates_.recordCached(request, backend, now);
 }
 
 void PrefixIndexWithLoad::onCompleted(const RouteRequest& request, const Candidate& backend,
                                       std::size_t /*cachedTokens*/, MonotonicTime now) {
-  beliefs_.cached(request, backend, now);
+  cacheEstimates_.recordCached(request, backend, now);
 }
 
 void PrefixIndexWithLoad::onCacheEvents(const CacheEventBatch& batch, MonotonicTime now) {
-  beliefs_.applyEvents(batch, now);
+  cacheEstimates_.applyEvents(batch, now);
 }
 
 void PrefixIndexWithLoad::onBackendLost(const BackendId& backend) {
-  beliefs_.forget(backend);
+  cacheEstimates_.forget(backend);
 }
 
 }  // namespace calicodrift::routing
--- a/src/routing/prefix_index_with_load.h
+++ b/src/routing/prefix_index_with_load.h
@@ -1,13 +1,13 @@
 #pragma once
 
-#include "routing/cache_beliefs.h"
+#include "routing/cache_estimates.h"
 #include "routing/policy.h"
 
 namespace calicodrift::routing {
 
-/// Weighs the engines that are believed to hold a prefix of the prompt, and a few others, by the
-/// estimated time to the first token: waiting there plus prefilling what is not cached. Beliefs
-/// decay and belong to one incarnation.
+/// Compares the engines that are believed to hold a prefix of the prompt, and a few others, by the
+/// estimated time to first token: the queueing delay plus the prefill of uncached tokens. Cache
+/// entries expire and belong to one incarnation.
 class PrefixIndexWithLoad : public Policy {
  public:
   static constexpr std::string_view kName = "PrefixIndexWithLoad";
@@ -24,7 +24,7 @@
 
  private:
   Random random_;
-  CacheBeliefs beliefs_;
+  CacheEstimates cacheEstimates_;
 };
 
 }  // namespace calicodrift::routing
--- a/src/routing/round_robin.cc
+++ b/src/routing/round_robin.cc
@@ -8,11 +8,11 @@
                           MonotonicTime /*now*/) {
   const std::size_t first = next_ % candidates.size();
   ++next_;
-  // As many places as can be avoided, and one more.
-  const std::size_t places = std::min(request.avoided.size() + 1, candidates.size());
+  // One more position than there are back ends to avoid.
+  const std::size_t examined = std::min(request.avoided.size() + 1, candidates.size());
   std::vector<std::size_t> positions;
-  for (std::size_t place = 0; place < places; ++place) {
-    positions.push_back((first + place) % candidates.size());
+  for (std::size_t offset = 0; offset < examined; ++offset) {
+    positions.push_back((first + offset) % candidates.size());
   }
   return {withoutAvoided(request, candidates, std::move(positions)).front(), 0, "next in turn"};
 }
--- a/src/routing/round_robin.h
+++ b/src/routing/round_robin.h
@@ -4,7 +4,7 @@
 
 namespace calicodrift::routing {
 
-/// Takes the back ends in turn, without regard to load or cache. The baseline.
+/// Chooses the back ends in turn, regardless of load or cache. Serves as the baseline.
 class RoundRobin : public Policy {
  public:
   static constexpr std::string_view kName = "RoundRobin";
--- a/tests/routing/candidate_set_test.cc
+++ b/tests/routing/candidate_set_test.cc
@@ -19,7 +19,7 @@
   return set[set.inAffinityOrder(key, 1).front()].id;
 }
 
-BOOST_AUTO_TEST_CASE(routersAgreeAndALeavingEngineMovesOnlyItsOwnKeys) {
+BOOST_AUTO_TEST_CASE(routersAgreeAndARemovedEngineMovesOnlyItsOwnKeys) {
   constexpr std::uint64_t kKeys = 2'000;
   for (const std::size_t size : {12U, 500U}) {
     CandidateSet one;
@@ -57,8 +57,8 @@
   for (const auto& entry : keys) {
     most = std::max(most, entry.second);
   }
-  // One point an engine and one probe a key would give the longest of 1,000 arcs, about 7 times the
-  // mean.
+  // With one point per engine and one probe per key, the longest of 1,000 arcs would have about 7
+  // times the mean.
   BOOST_TEST(most < kKeysEach * 3);
 }
 
--- a/tests/routing/one_region_test.cc
+++ b/tests/routing/one_region_test.cc
@@ -9,7 +9,7 @@
 constexpr MonotonicTime kNow{std::chrono::hours(1)};
 constexpr std::size_t kServers = 30;
 
-/// Candidates of one region with random loads.
+/// Candidates of one region with random load.
 CandidateSet randomLoads(std::mt19937_64& random) {
   const auto below = [&random](std::size_t bound) { return std::size_t{random() % bound}; };
   CandidateSet candidates;
@@ -43,7 +43,7 @@
   return request;
 }
 
-/// All choices over seeded requests, as one number.
+/// Hash of all choices for seeded requests.
 std::uint64_t fingerprint(std::string_view policyName) {
   std::mt19937_64 random(11);
   const auto policy = makePolicy(policyName, 5);
@@ -56,8 +56,8 @@
   return all;
 }
 
-/// Guards that a fleet in one region is served as it would be without any notion of distance: the
-/// numbers come from the policies as they were before they weighed it.
+/// Guards against changed decisions for a fleet in one region, where distances must not matter: the
+/// values were computed with the policies before they took distance into account.
 BOOST_AUTO_TEST_CASE(aFleetInOneRegionDecidesAsWithoutDistance) {
   BOOST_TEST(fingerprint("PrefixHome") == 14076554585295137915U);
   BOOST_TEST(fingerprint("LeastOutstanding") == 3863065282022704299U);
--- a/tests/routing/policy_test.cc
+++ b/tests/routing/policy_test.cc
@@ -26,7 +26,7 @@
   return set;
 }
 
-/// A prompt of `text`; equal texts share all blocks.
+/// A prompt that is identified by `text`; equal texts share all blocks.
 RouteRequest prompt(std::uint64_t text, std::size_t blocks = kBlocks) {
   RouteRequest request;
   request.tenant = TenantId("t");
@@ -39,7 +39,7 @@
   return request;
 }
 
-std::vector<std::string> beliefPolicies() {
+std::vector<std::string> indexPolicies() {
   return {"PrefixIndexWithLoad", "NestedPrefixAffinity"};
 }
 
@@ -78,7 +78,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(noPolicyReliesOnTheCacheOfALostIncarnation) {
-  for (const std::string& name : beliefPolicies()) {
+  for (const std::string& name : indexPolicies()) {
     const auto policy = makePolicy(name, 1);
     const RouteRequest request = prompt(1);
     CandidateSet set;
@@ -87,13 +87,13 @@
     policy->onCompleted(request, set[0], 0, kStart);
     BOOST_TEST(policy->choose(request, set, kStart).expectedCachedBlocks == kBlocks);
 
-    // The new incarnation is known before the loss was reported, then after it.
+    // The new incarnation is known first before the loss is reported, then after it.
     set.put(engine(0, 2));
     BOOST_TEST(policy->choose(request, set, kStart).expectedCachedBlocks == 0U);
     policy->onBackendLost(set[0].id);
     BOOST_TEST(policy->choose(request, set, kStart).expectedCachedBlocks == 0U);
 
-    // Events and answers of the old incarnation come late.
+    // Events and answers of the old incarnation arrive late.
     policy->onDispatched(prompt(2), set[0], kStart);
     CacheEventBatch late{set[0].id, Incarnation(1), 1, {}};
     for (const BlockHash block : request.blocks) {
@@ -106,8 +106,8 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(beliefsNeedTheSameTenantAndEvictionEventsEndThem) {
-  for (const std::string& name : beliefPolicies()) {
+BOOST_AUTO_TEST_CASE(cacheEntriesNeedTheSameTenantAndEndWithEvictions) {
+  for (const std::string& name : indexPolicies()) {
     const auto policy = makePolicy(name, 1);
     CandidateSet set;
     set.put(engine(0));
@@ -128,7 +128,8 @@
   }
 }
 
-/// Sends `requests` for one text among as many for others and counts the engines that got it.
+/// Sends requests of which every `everyNth` has the text, and returns the number of engines that
+/// received the text.
 std::size_t enginesOfText(Policy& policy, const CandidateSet& set, std::uint64_t text,
                           std::size_t everyNth, MonotonicTime& now) {
   constexpr std::size_t kRequests = 600;
@@ -138,7 +139,7 @@
     now += kBetween;
     const bool forText = index % everyNth == 0;
     RouteRequest request = prompt(forText ? text : 1'000 + index);
-    // Each conversation about the text goes on in its own way.
+    // Each conversation about the text continues differently.
     request.blocks.resize(kBlocks + 4, BlockHash(hashPair(text, index + 1'000'000)));
     request.decidedHereOnly = true;
     const Choice choice = policy.choose(request, set, now);
@@ -149,7 +150,7 @@
   return used.size();
 }
 
-BOOST_AUTO_TEST_CASE(aHotPrefixSpreadsOverEnginesAndGathersWhenItCools) {
+BOOST_AUTO_TEST_CASE(hotPrefixSpreadsAndReturnsToOneEngineWhenItCools) {
   constexpr std::size_t kEngines = 18;
   constexpr std::size_t kRareNth = 100;
   const CandidateSet set = engines(kEngines);
@@ -161,7 +162,7 @@
   now += std::chrono::minutes(10);
   const std::size_t cooled = enginesOfText(*policy, set, 5, kRareNth, now);
   BOOST_TEST(cold <= 2U);
-  // Half of the load needs at least half of the engines.
+  // Half of the load requires at least half of the engines.
   BOOST_TEST(hot >= kEngines / 2);
   BOOST_TEST(cooled <= 2U);
 }
--- a/tests/routing/prefix_home_test.cc
+++ b/tests/routing/prefix_home_test.cc
@@ -31,7 +31,7 @@
   return request;
 }
 
-BOOST_AUTO_TEST_CASE(requestsWithTheSameCommonPartGoHome) {
+BOOST_AUTO_TEST_CASE(requestsWithTheSameCommonPrefixGoToItsHome) {
   PrefixHome policy;
   const CandidateSet candidates = makeCandidates(12);
   const std::size_t home = policy.choose(makeRequest(7, 1), candidates, kNow).index;
@@ -42,7 +42,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(commonPartHasOneHomeHoweverShort) {
+BOOST_AUTO_TEST_CASE(commonPrefixHasOneHomeForAnyLength) {
   PrefixHome policy;
   const CandidateSet candidates = makeCandidates(80);
   for (const std::size_t sharedTokens : {90U, 2560U}) {
@@ -69,11 +69,11 @@
   BOOST_TEST(choice.expectedCachedBlocks == 10U);
 }
 
-BOOST_AUTO_TEST_CASE(promptThatWouldMakeStreamsPauseGoesWhereFewerRun) {
+BOOST_AUTO_TEST_CASE(promptThatWouldPauseStreamsLeavesTheHome) {
   PrefixHome policy;
   CandidateSet candidates = makeCandidates(12);
   const std::size_t home = policy.choose(makeRequest(7, 1), candidates, kNow).index;
-  // 9,000 tokens wait: 225 ms of prefill, less than leaving the home costs.
+  // 9,000 queued tokens take 225 ms to prefill, which is less than the cost of leaving the home.
   Candidate streaming = candidates[home];
   streaming.sentPrefillTokens = 9000;
   streaming.outstanding = 6;
@@ -82,13 +82,13 @@
   streaming.pauseBoundMs = 200;
   candidates.put(streaming);
   BOOST_TEST(policy.choose(makeRequest(7, 3), candidates, kNow).index != home);
-  // A pause that they may make harms nobody.
+  // A pause within the bound has no cost.
   streaming.pauseBoundMs = 600;
   candidates.put(streaming);
   BOOST_TEST(policy.choose(makeRequest(7, 4), candidates, kNow).index == home);
 }
 
-BOOST_AUTO_TEST_CASE(homeThatOthersHaveFilledIsLeft) {
+BOOST_AUTO_TEST_CASE(homeFilledByOtherRoutersIsLeft) {
   PrefixHome policy;
   CandidateSet candidates = makeCandidates(12);
   const std::size_t home = policy.choose(makeRequest(7, 1), candidates, kNow).index;
@@ -99,11 +99,11 @@
   full.peerTokens = 60'000;
   candidates.put(full);
   BOOST_TEST(policy.choose(makeRequest(7, 2), candidates, kNow).index == home);
-  // No room for the prompt's 2,816 tokens beside what runs.
+  // There is no memory for the prompt's 2,816 tokens in addition to the running requests.
   full.peerTokens = 79'000;
   candidates.put(full);
   BOOST_TEST(policy.choose(makeRequest(7, 3), candidates, kNow).index != home);
-  // Room, but a long queue for a place in the batch.
+  // There is memory, but a long queue for a batch slot.
   full.peerTokens = 10'000;
   full.peerRequests = 30;
   candidates.put(full);
--- a/tests/routing/regions_test.cc
+++ b/tests/routing/regions_test.cc
@@ -6,15 +6,15 @@
 namespace {
 
 constexpr MonotonicTime kNow{std::chrono::hours(1)};
-constexpr double kWayMs = 60;
+constexpr double kRoundTripMs = 60;
 constexpr std::size_t kServers = 30;
 
 std::size_t regionOf(std::size_t number) {
   return number % 3;
 }
 
-/// A third of the servers in each of three regions, seen from one of them.
-/// @param prefillTokensPerMs the common part of promptOf() has 2,560 tokens.
+/// One third of the servers in each of three regions, as seen from one of them.
+/// @param prefillTokensPerMs prefill rate; the common prefix of promptOf() has 2,560 tokens.
 CandidateSet seenFrom(std::size_t region, std::size_t count = kServers,
                       double prefillTokensPerMs = 80) {
   CandidateSet candidates;
@@ -24,7 +24,7 @@
     candidate.prefillTokensPerMs = prefillTokensPerMs;
     candidate.slots = 6;
     candidate.nearby = regionOf(number) == region;
-    candidate.wayMs = candidate.nearby ? 0 : kWayMs;
+    candidate.wayMs = candidate.nearby ? 0 : kRoundTripMs;
     candidates.put(candidate);
   }
   return candidates;
@@ -71,7 +71,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(whatTakesLongToReadHasOneHomeInTheFleet) {
+BOOST_AUTO_TEST_CASE(slowPrefixHasOneHomeInTheFleet) {
   const auto policy = makePolicy("PrefixHome", 1);
   constexpr double kSlowTokensPerMs = 20;
   std::size_t distant = 0;
@@ -87,7 +87,7 @@
 
 BOOST_AUTO_TEST_CASE(aLargeSetHasHomesByRegionToo) {
   const auto policy = makePolicy("PrefixHome", 1);
-  const CandidateSet candidates = seenFrom(1, 3 * CandidateSet::kSmall);
+  const CandidateSet candidates = seenFrom(1, 3 * CandidateSet::kSmallSetSize);
   for (std::uint64_t part = 1; part < 200; ++part) {
     BOOST_TEST(candidates[policy->choose(promptOf(part, 1), candidates, kNow).index].nearby);
   }
@@ -103,7 +103,7 @@
   BOOST_TEST(candidates[policy->choose(promptOf(7, 2), candidates, kNow).index].nearby);
 }
 
-BOOST_AUTO_TEST_CASE(promptsDontLeaveForLessThanTheWayAndTheMargin) {
+BOOST_AUTO_TEST_CASE(promptsDontLeaveForLessThanTheRoundTripAndTheMargin) {
   const auto policy = makePolicy("PrefixHome", 1);
   CandidateSet candidates = seenFrom(0);
   setRequests(candidates, true, 5);
@@ -124,7 +124,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(servicesStayNearWhileTheirServersBearIt) {
+BOOST_AUTO_TEST_CASE(servicesStayInTheRegionWhileItHasCapacity) {
   const auto policy = makePolicy("LeastOutstanding", 1);
   CandidateSet candidates = seenFrom(2);
   for (const std::size_t requests : {0U, 3U, 8U, 12U}) {
@@ -133,7 +133,7 @@
       BOOST_TEST(candidates[policy->choose({}, candidates, kNow).index].nearby);
     }
   }
-  // The queue takes longer than the way now.
+  // The queue now takes longer than the round trip.
   setRequests(candidates, true, 40);
   std::size_t away = 0;
   for (int count = 0; count < 50; ++count) {
@@ -142,7 +142,7 @@
   BOOST_TEST(away > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aSecondTryPrefersAnotherServerNearby) {
+BOOST_AUTO_TEST_CASE(retryPrefersAnotherNearbyServer) {
   const auto policy = makePolicy("LeastOutstanding", 1);
   const CandidateSet candidates = seenFrom(0, 6);
   RouteRequest request;
