--- a/src/routes/route_table.cc
+++ b/src/routes/route_table.cc
@@ -23,7 +23,8 @@
   if (ofHost == routesByHost_.end()) {
     return nullptr;
   }
-  // Prefixes end with a slash, so only the path's own slashes can end one: longest first.
+  // Prefixes end with a slash, so only slashes in the path can end a match; the longest is tried
+  // first.
   for (std::size_t end = path.rfind('/'); end != std::string_view::npos;
        end = end == 0 ? std::string_view::npos : path.rfind('/', end - 1)) {
     const auto found = ofHost->second.find(path.substr(0, end + 1));
@@ -47,10 +48,10 @@
 Milliseconds RouteTable::pauseBoundOf(std::string_view service) const {
   Milliseconds shortest{0};
   for (const Route& route : content_.routes) {
-    const bool goesThere =
+    const bool routesToService =
         std::any_of(route.services.begin(), route.services.end(),
                     [service](const WeightedService& part) { return part.service == service; });
-    if (goesThere && route.longestPause > Milliseconds(0)) {
+    if (routesToService && route.longestPause > Milliseconds(0)) {
       shortest =
           shortest == Milliseconds(0) ? route.longestPause : std::min(shortest, route.longestPause);
     }
--- a/src/routes/route_table.h
+++ b/src/routes/route_table.h
@@ -14,17 +14,17 @@
 #include "common/endpoint.h"
 #include "common/ids.h"
 
-/// The configuration that requests are served by: routes, services, tenants and limits. A table is
-/// immutable; a newer configuration is another table that replaces it as a whole.
+/// The configuration for serving requests: routes, services, tenants and limits. A table is
+/// immutable; a newer configuration is a new table that replaces it completely.
 namespace calicodrift::routes {
 
-/// What may be repeated.
+/// Determines whether requests of a route may be repeated.
 enum class RouteKind {
   /// May run more than once.
   kSafe,
   /// Runs at most once for each caller's request.
   kUnsafe,
-  /// A series of events; runs at most once unless it is resumable.
+  /// A stream of events; runs at most once unless it is resumable.
   kStreaming,
 };
 
@@ -39,21 +39,21 @@
   /// Starts and ends with a slash.
   std::string pathPrefix;
   RouteKind kind = RouteKind::kUnsafe;
-  /// Longest time for which a request is held.
+  /// Maximum time until a request is complete.
   Milliseconds timeout{0};
-  /// Time within which an answer (a stream's first event) is wanted.
+  /// Target time for an answer, or for the first event of a stream.
   Milliseconds targetLatency{0};
-  /// Longest pause between two events of a stream that is still in time; 0: it does not matter.
+  /// Longest pause between two events for a stream to count as timely; 0 if there is no bound.
   Milliseconds longestPause{0};
   /// 0 is the most urgent.
   unsigned priority = 0;
-  /// At least one.
+  /// Contains at least one service.
   std::vector<WeightedService> services;
-  /// Servers that one request may be sent to.
+  /// Maximum number of servers that one request may run on.
   std::size_t maxAttempts = 1;
-  /// Needs no key.
+  /// Whether requests need no API key.
   bool isPublic = false;
-  /// A broken stream may go on at another server.
+  /// Whether a broken stream may be resumed on another server.
   bool resumable = false;
 
   bool idempotent() const {
@@ -61,14 +61,14 @@
   }
 };
 
-/// Model servers' traits that routing needs.
+/// Properties of model servers that routing needs.
 struct EngineTraits {
   std::size_t slots = 0;
   std::size_t cacheTokens = 0;
   std::vector<ModelId> models;
 };
 
-/// A store of kept cache that model servers can save to and fetch from.
+/// A cache store that model servers can save to and fetch from.
 struct CacheStore {
   Endpoint endpoint;
   ZoneId zone;
@@ -80,35 +80,35 @@
   std::size_t maxConnections = 0;
   /// Set for services of model servers.
   std::optional<EngineTraits> engine;
-  /// Set for a store of kept cache; no request is routed to it.
+  /// Set for a cache store; no request is routed to it.
   std::optional<CacheStore> cacheStore;
 };
 
-/// What a tenant's limit counts.
+/// The unit that a tenant's limit counts.
 enum class LimitUnit { kRequests, kTokens };
 
-/// A tenant's limit over all nodes together.
+/// A tenant's rate limit, which applies to all nodes together.
 struct RateLimit {
   LimitUnit unit = LimitUnit::kRequests;
   double unitsPerSecond = 0;
-  /// On top of that, at once.
+  /// Units allowed at once in addition to the rate.
   double burst = 0;
-  /// In tokens: what a request counts that states none.
+  /// Tokens charged for a request that doesn't state its token counts.
   double unstatedTokens = 0;
 };
 
 struct Tenant {
   TenantId id;
-  /// Goes before the route's priority where set.
+  /// Overrides the route's priority if set.
   std::optional<unsigned> priority;
-  /// Shares no cached prompt part with any other tenant.
+  /// Whether the tenant shares no cached prompt parts with other tenants.
   bool isolated = false;
-  /// Nothing: it has no limit.
+  /// Empty if the tenant has no limit.
   std::optional<RateLimit> limit;
   std::vector<std::string> apiKeys;
 };
 
-/// Bounds on what callers send.
+/// Limits on the requests of callers.
 struct CallerLimits {
   std::size_t maxHeaderBytes = 16'384;
   std::size_t maxBodyBytes = 4'194'304;
@@ -116,7 +116,7 @@
   Milliseconds idleTimeout{15000};
 };
 
-/// The parts of a table before it is indexed.
+/// The content of a table before it is indexed.
 struct RouteTableContent {
   ConfigVersion version;
   std::vector<Route> routes;
@@ -132,9 +132,9 @@
   RouteTable& operator=(const RouteTable&) = delete;
 
   ConfigVersion version() const { return content_.version; }
-  /// The route of the host with the longest prefix that begins the path, or null.
+  /// Returns the route of the host with the longest prefix of the path, or null.
   const Route* findRoute(std::string_view host, std::string_view path) const;
-  /// The tenant that holds the key, or null.
+  /// Returns the tenant that owns the key, or null.
   const Tenant* findTenant(std::string_view apiKey) const;
   const Service* findService(std::string_view name) const;
   /// Whether requests to routes that aren't public need a key.
@@ -142,14 +142,14 @@
   const CallerLimits& limits() const { return content_.limits; }
   const std::vector<Service>& services() const { return content_.services; }
   const std::vector<Tenant>& tenants() const { return content_.tenants; }
-  /// The stores of kept cache.
+  /// Returns all cache stores.
   std::vector<const CacheStore*> cacheStores() const;
-  /// The shortest of the pauses that streams of the service's routes may make; 0: none matters.
+  /// Returns the shortest allowed pause of streams on the service's routes; 0 if there is no bound.
   Milliseconds pauseBoundOf(std::string_view service) const;
   std::size_t routeCount() const { return content_.routes.size(); }
 
  private:
-  /// Lets texts be looked up by string_view.
+  /// Allows lookups of std::string keys by string_view.
   struct TextHash {
     using is_transparent = void;
     std::size_t operator()(std::string_view text) const {
@@ -160,7 +160,7 @@
   using TextMap = std::unordered_map<std::string, Value, TextHash, std::equal_to<>>;
 
   RouteTableContent content_;
-  /// Routes of each host by their prefix.
+  /// The routes of each host by path prefix.
   TextMap<TextMap<const Route*>> routesByHost_;
   TextMap<const Tenant*> tenantsByKey_;
   TextMap<const Service*> servicesByName_;
--- a/tests/routes/route_table_test.cc
+++ b/tests/routes/route_table_test.cc
@@ -35,7 +35,7 @@
   BOOST_TEST((table.findRoute("f", "/a/") == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(shortestPauseOfAServicesRoutesHolds) {
+BOOST_AUTO_TEST_CASE(pauseBoundIsTheShortestOfTheServicesRoutes) {
   RouteTableContent content;
   for (const std::int64_t pause : {600, 0, 250}) {
     Route route = routeAt("h", "/" + std::to_string(pause) + "/");
