--- a/src/forward/retry_rules.h
+++ b/src/forward/retry_rules.h
@@ -20,7 +20,7 @@
   kNo,
   /// The request never reached a server, so no retry budget is consumed.
   kFree,
-  /// Another server gets the request: only if the retry budget allows it.
+  /// A server receives the request a second time: only if the retry budget allows it.
   kBudgeted,
 };
 
--- a/src/forward/server_attempt.h
+++ b/src/forward/server_attempt.h
@@ -20,7 +20,8 @@
   Milliseconds eventTimeout{0};
 };
 
-/// Whether a server's own 5xx answer is delivered, or kept in case no other server succeeds.
+/// Whether a server's own failure, a 5xx answer with proof that it comes from the server, is
+/// delivered, or kept in case no other server succeeds.
 enum class FailureUse { kDeliver, kKeep };
 
 /// One dispatch of a request to one server, with its answer relayed to the caller.
