--- a/src/relay/child_table.cc
+++ b/src/relay/child_table.cc
@@ -6,7 +6,7 @@
 
 bool ChildTable::admit(const NodeId& node, const Relay& relay, MonotonicTime now) {
   expire(now);
-  if (!children_.contains(node) && children_.size() >= most_) {
+  if (!children_.contains(node) && children_.size() >= capacity_) {
     return false;
   }
   children_[node] = {relay, now};
@@ -15,7 +15,7 @@
 
 bool ChildTable::renew(const NodeId& node, MonotonicTime now) {
   const auto found = children_.find(node);
-  if (found == children_.end() || lapsed(found->second, now)) {
+  if (found == children_.end() || isExpired(found->second, now)) {
     return false;
   }
   found->second.askedAt = now;
@@ -25,24 +25,24 @@
 std::size_t ChildTable::size(MonotonicTime now) const {
   return static_cast<std::size_t>(
       std::count_if(children_.begin(), children_.end(),
-                    [this, now](const auto& child) { return !lapsed(child.second, now); }));
+                    [this, now](const auto& child) { return !isExpired(child.second, now); }));
 }
 
 std::vector<Endpoint> ChildTable::endpoints(MonotonicTime now) const {
   std::vector<Endpoint> found;
   for (const auto& [node, child] : children_) {
-    if (!lapsed(child, now)) {
+    if (!isExpired(child, now)) {
       found.push_back(child.relay.endpoint);
     }
   }
   return found;
 }
 
-std::vector<Relay> ChildTable::some(std::size_t most, const ZoneId& zone, const Endpoint& except,
-                                    MonotonicTime now, std::mt19937_64& random) const {
+std::vector<Relay> ChildTable::sample(std::size_t most, const ZoneId& zone, const Endpoint& except,
+                                      MonotonicTime now, std::mt19937_64& random) const {
   std::vector<Relay> found;
   for (const auto& [node, child] : children_) {
-    if (!lapsed(child, now) && child.relay.endpoint != except) {
+    if (!isExpired(child, now) && child.relay.endpoint != except) {
       found.push_back(child.relay);
     }
   }
@@ -54,7 +54,7 @@
 }
 
 void ChildTable::expire(MonotonicTime now) {
-  std::erase_if(children_, [this, now](const auto& child) { return lapsed(child.second, now); });
+  std::erase_if(children_, [this, now](const auto& child) { return isExpired(child.second, now); });
 }
 
 void shuffleByZone(std::vector<Relay>& relays, const ZoneId& zone, std::mt19937_64& random) {
--- a/src/relay/child_table.h
+++ b/src/relay/child_table.h
@@ -13,22 +13,22 @@
 
 /// The nodes that read the store through this one.
 ///
-/// Invariant: never more than `most` of them asked within the last `term`; one that has been silent
-/// for longer has lost its place.
+/// Invariant: at most `capacity` of them have called within the last `timeout`. A child that has
+/// not called for longer loses its place.
 class ChildTable {
  public:
-  ChildTable(std::size_t most, Milliseconds term) : most_(most), term_(term) {}
+  ChildTable(std::size_t capacity, Milliseconds timeout) : capacity_(capacity), timeout_(timeout) {}
 
-  /// Whether the node is a child from now on, as it was one or there is room.
+  /// Adds or renews the child. Returns false if the node is not yet a child and the table is full.
   bool admit(const NodeId& node, const Relay& relay, MonotonicTime now);
-  /// Whether the node is a child; it then keeps its place for another term.
+  /// Renews the child for another timeout. Returns false if the node is not a child.
   bool renew(const NodeId& node, MonotonicTime now);
   std::size_t size(MonotonicTime now) const;
   /// Addresses of all children.
   std::vector<Endpoint> endpoints(MonotonicTime now) const;
-  /// Some children but `except`, in random order, those of the zone first.
-  std::vector<Relay> some(std::size_t most, const ZoneId& zone, const Endpoint& except,
-                          MonotonicTime now, std::mt19937_64& random) const;
+  /// A random sample of at most `most` children other than `except`, children in `zone` first.
+  std::vector<Relay> sample(std::size_t most, const ZoneId& zone, const Endpoint& except,
+                            MonotonicTime now, std::mt19937_64& random) const;
 
  private:
   struct Child {
@@ -36,15 +36,17 @@
     MonotonicTime askedAt{};
   };
 
-  bool lapsed(const Child& child, MonotonicTime now) const { return now - child.askedAt > term_; }
+  bool isExpired(const Child& child, MonotonicTime now) const {
+    return now - child.askedAt > timeout_;
+  }
   void expire(MonotonicTime now);
 
-  std::size_t most_;
-  Milliseconds term_;
+  std::size_t capacity_;
+  Milliseconds timeout_;
   std::map<NodeId, Child> children_;
 };
 
-/// Puts the relays in random order, those of the zone first.
+/// Shuffles the relays and moves those in `zone` to the front.
 void shuffleByZone(std::vector<Relay>& relays, const ZoneId& zone, std::mt19937_64& random);
 
 }  // namespace calicodrift::relay
--- a/src/relay/messages.h
+++ b/src/relay/messages.h
@@ -10,67 +10,68 @@
 #include "relay/relay_list.h"
 #include "store/object_store.h"
 
-/// Reading the store through another node, so that the load on the store does not grow with
-/// the number of nodes. The nodes of a group form a tree: its roots read the store, every other
-/// node reads what its parent knows.
+/// Relay trees: nodes read the store through other nodes, so that the load on the store does not
+/// grow with the number of nodes. The nodes of a group form a tree: its roots read the store, and
+/// every other node reads from its parent.
 namespace calicodrift::relay {
 
 inline constexpr std::string_view kViewPath = "/view";
 inline constexpr std::string_view kJoinPath = "/join";
-/// A RelayList is told here, and answered with the newest one that the node knows. Builds that
-/// don't have it answer 404, and count as not having heard.
+/// Receives a RelayList and replies with the newest list that the node knows. Builds without this
+/// endpoint answer 404, which counts as not notified.
 inline constexpr std::string_view kRootsPath = "/roots";
 
-/// What a node asks another that it wants to follow, or follows: every heartbeat is one.
+/// Asks for a place as a child. Also sent to the parent as a heartbeat.
 struct JoinRequest {
   std::string node;
   Endpoint endpoint;
   std::string zone;
-  /// The sender only wants to know how the other stands.
-  bool looksOnly = false;
+  /// Only asks for the state of the receiver, without becoming its child.
+  bool probeOnly = false;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(node, endpoint, zone, looksOnly);
+    archive(node, endpoint, zone, probeOnly);
   }
 };
 
 enum class JoinOutcome : std::uint8_t {
   kAccepted,
-  /// It has as many children as it may have; others may have room.
+  /// The node already has its maximum number of children; its own children may have room.
   kFull,
-  /// It has no parent itself, or stops.
+  /// The node has no parent or is stopping.
   kNotServing,
 };
 
 struct JoinReply {
   JoinOutcome outcome = JoinOutcome::kNotServing;
-  /// Nodes between the sender of this reply and the store.
+  /// Number of nodes between the sender of this reply and the store.
   std::uint32_t depth = 0;
-  /// Age of the sender's view of the store.
+  /// Age of the sender's view of the store, in milliseconds.
   std::int64_t proofAgeMs = 0;
-  /// The list of roots, as the sender knows it.
+  /// The list of roots that the sender knows.
   RelayList roots;
-  /// Children of the sender.
+  /// Number of children of the sender.
   std::uint32_t children = 0;
-  /// Whom to ask instead: where it is full, its children; else whom to go to should it fail.
-  std::vector<Relay> others;
+  /// Other relays to ask: the sender's children if it is full, otherwise fallbacks for when the
+  /// sender fails.
+  std::vector<Relay> alternatives;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(outcome, depth, proofAgeMs, roots, children, others);
+    archive(outcome, depth, proofAgeMs, roots, children, alternatives);
   }
 };
 
-/// What a follower asks its relay for.
+/// A child's request for a listing or for changes of one kind.
 struct ViewQuery {
   std::string kind;
-  /// Everything, or the changes after `since`.
+  /// True for a full listing, false for the changes after `since`.
   bool listing = false;
   std::uint64_t since = 0;
-  /// Longest time for which the relay may wait for news.
+  /// Longest time for which the relay may wait for a change, in milliseconds.
   std::uint32_t waitMs = 0;
-  /// The asking node, which must be a child.
+  /// The sender, which must be a child of the receiver.
   std::string follower;
 
   template <typename Archive>
@@ -81,9 +82,9 @@
 
 enum class ViewOutcome : std::uint8_t {
   kServed,
-  /// The history after `since` is gone: a listing is needed.
-  kForgotten,
-  /// This node has no parent, or does not know the asking node as its child.
+  /// The history after `since` is no longer kept; the follower has to list again.
+  kCompacted,
+  /// The node has no parent, or the sender is not one of its children.
   kNotServing,
 };
 
@@ -92,9 +93,9 @@
   std::uint64_t revision = 0;
   bool deleting = false;
   bool removed = false;
-  /// JSON.
+  /// Serialized JSON.
   std::string spec;
-  /// JSON; empty where the object has none.
+  /// Serialized JSON; empty if the object has no status.
   std::string status;
 
   template <typename Archive>
@@ -107,7 +108,8 @@
   ViewOutcome outcome = ViewOutcome::kNotServing;
   std::vector<ViewObject> objects;
   std::uint64_t revision = 0;
-  /// The reply was the newest state so long after the query came in; below 0: so long before.
+  /// When the reply was known to be current, in milliseconds after the arrival of the query.
+  /// Negative if that was before the arrival.
   std::int64_t provenAfterMs = 0;
 
   template <typename Archive>
@@ -117,10 +119,10 @@
 };
 
 ViewObject toMessage(const store::Object& object, bool removed);
-/// Fails with kProtocolViolation where the spec is not JSON.
+/// Fails with kProtocolViolation if the spec or the status is not JSON.
 Result<store::Object> toObject(const ViewObject& object);
-/// As toObject(), but with a null spec and no status where they are not JSON: one such object must
-/// not take the others of a view with it, and no reader of specs accepts null.
+/// As toObject(), but with a null spec and no status if either is not JSON. One malformed object
+/// must not make the other objects of a view unreadable, and every reader of specs rejects null.
 store::Object toObjectOrUnreadable(const ViewObject& object);
 
 }  // namespace calicodrift::relay
--- a/src/relay/news_spreader.cc
+++ b/src/relay/news_spreader.cc
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// A neighbour that did not answer is told again after so long: it may start anew meanwhile.
-constexpr Milliseconds kSilencePause{1000};
-/// Each neighbour has less time than this node, so that its answer comes in time.
-constexpr double kTimeForNeighbours = 0.8;
+/// Delay before a neighbour that did not answer is called again, since it may be restarting.
+constexpr Milliseconds kRetryDelay{1000};
+/// Share of this node's own time that each neighbour gets, so that its reply arrives in time.
+constexpr double kNeighbourTimeShare = 0.8;
 
 }  // namespace
 
@@ -30,12 +30,12 @@
     bool pending = false;
     for (const Endpoint& neighbour : context_.neighbours()) {
       Peer& peer = peers_[neighbour.toString()];
-      const bool knows = peer.told >= version;
-      if (neighbour.toString() == except || knows || now < peer.silentUntil) {
+      const bool knows = peer.acknowledged >= version;
+      if (neighbour.toString() == except || knows || now < peer.retryAt) {
         continue;
       }
       pending = true;
-      if (!std::exchange(peer.calling, true)) {
+      if (!std::exchange(peer.callInFlight, true)) {
         const Milliseconds left = std::chrono::ceil<Milliseconds>(end - now);
         asio::co_spawn(context_.executor, push(neighbour, left), asio::detached);
       }
@@ -44,9 +44,9 @@
       co_return;
     }
     const auto timer = std::make_shared<asio::steady_timer>(context_.executor, end);
-    const auto waiter = waiting_.insert(waiting_.end(), timer);
+    const auto waiter = waiters_.insert(waiters_.end(), timer);
     co_await timer->async_wait(asio::as_tuple(asio::use_awaitable));
-    waiting_.erase(waiter);
+    waiters_.erase(waiter);
   }
 }
 
@@ -54,42 +54,42 @@
   const std::string name = neighbour.toString();
   const std::uint64_t version = context_.version();
   const Milliseconds wait(
-      static_cast<std::int64_t>(static_cast<double>(time.count()) * kTimeForNeighbours));
-  const std::uint64_t since = peers_[name].told;
+      static_cast<std::int64_t>(static_cast<double>(time.count()) * kNeighbourTimeShare));
+  const std::uint64_t since = peers_[name].acknowledged;
   const bool taken =
       co_await context_.send(std::move(neighbour), since, wait, std::max(time, kTellTime));
   Peer& peer = peers_[name];
-  peer.calling = false;
+  peer.callInFlight = false;
   if (taken) {
-    peer.told = std::max(peer.told, version);
+    peer.acknowledged = std::max(peer.acknowledged, version);
   } else {
-    peer.silentUntil = monotonicNow() + kSilencePause;
+    peer.retryAt = monotonicNow() + kRetryDelay;
   }
-  for (const TimerPointer& waiter : waiting_) {
+  for (const TimerPointer& waiter : waiters_) {
     waiter->cancel();
   }
-  // What came meanwhile, where nobody waits.
-  if (taken && peer.told < context_.version()) {
+  // Sends changes that arrived during the call, which no caller waits for.
+  if (taken && peer.acknowledged < context_.version()) {
     tellSoon();
   }
 }
 
 void NewsSpreader::onNewsFrom(const std::string& neighbour, std::uint64_t before) {
   Peer& peer = peers_[neighbour];
-  if (peer.told == before) {
-    peer.told = context_.version();
+  if (peer.acknowledged == before) {
+    peer.acknowledged = context_.version();
   }
 }
 
 void NewsSpreader::setTold(const std::string& neighbour, std::uint64_t version) {
-  peers_[neighbour].told = version;
+  peers_[neighbour].acknowledged = version;
 }
 
 void NewsSpreader::forgetFormerNeighbours() {
   const std::vector<Endpoint> now = context_.neighbours();
   std::erase_if(peers_, [&now](const auto& entry) {
     const auto isIt = [&entry](const Endpoint& one) { return one.toString() == entry.first; };
-    return !entry.second.calling && std::none_of(now.begin(), now.end(), isIt);
+    return !entry.second.callInFlight && std::none_of(now.begin(), now.end(), isIt);
   });
 }
 
--- a/src/relay/news_spreader.h
+++ b/src/relay/news_spreader.h
@@ -16,50 +16,53 @@
 
 namespace calicodrift::relay {
 
-/// What a NewsSpreader needs. All of it outlives the spreader, on one thread.
+/// Dependencies of a NewsSpreader. They must outlive the spreader and run on its thread.
 struct NewsContext {
   boost::asio::any_io_executor executor;
-  /// Whom this node tells: its parent and children in the tree, and roots each other.
+  /// The nodes to notify: the parent and children in the tree, and for a root the other roots.
   std::function<std::vector<Endpoint>()> neighbours;
-  /// Counts the changes of what is told.
+  /// Version of the local state; increases with each change.
   std::function<std::uint64_t()> version;
-  /// Sends what has changed after `since`, and merges what is answered. The receiver answers once
-  /// it has told its own neighbours, or after `wait`. Gives whether it has taken the news.
+  /// Sends the changes after `since` and merges the reply. The receiver replies once it has
+  /// notified its own neighbours, or after `wait`. Returns whether the receiver applied the
+  /// changes.
   std::function<boost::asio::awaitable<bool>(Endpoint neighbour, std::uint64_t since,
                                              Milliseconds wait, Milliseconds timeout)>
       send;
 };
 
-/// Brings news to all nodes of the relay tree at once: each node tells its neighbours what they
-/// don't know yet, and they tell theirs before they answer. So who waits for the answers knows that
-/// all nodes that can be reached have heard, and nothing is sent while there is no news.
+/// Broadcasts state changes through the relay tree. Each node sends its neighbours the changes that
+/// they lack, and each of them notifies its own neighbours before it replies. A sender that has all
+/// replies therefore knows that every reachable node has the changes. Nothing is sent while nothing
+/// changes.
 class NewsSpreader {
  public:
   explicit NewsSpreader(NewsContext context) : context_(std::move(context)) {}
 
-  /// Tells all neighbours but one what they don't know; waits for it as long as that.
+  /// Sends pending changes to all neighbours but `except` and waits up to `time` for their replies.
   boost::asio::awaitable<void> tell(Milliseconds time, std::string except = "");
-  /// The same without waiting.
+  /// Sends pending changes without waiting for the replies.
   void tellSoon();
-  /// A neighbour has told what it knows. Where it had been told all before, it knows what came with
-  /// it too.
-  /// @param before the version before that was merged.
+  /// Records that a neighbour has sent its state. If the neighbour had everything up to `before`,
+  /// it also has what it has just sent.
+  /// @param before the local version before the neighbour's state was merged.
   void onNewsFrom(const std::string& neighbour, std::uint64_t before);
-  /// The neighbour knows all up to the version.
+  /// Records that the neighbour has all changes up to `version`.
   void setTold(const std::string& neighbour, std::uint64_t version);
-  /// Forgets what was told to nodes that are no neighbours any more.
+  /// Drops the records of nodes that are no longer neighbours.
   void forgetFormerNeighbours();
 
-  /// For all nodes to be told: several ways there and back down a tree of four levels.
+  /// Time for a change to reach all nodes: several round trips through a tree of four levels.
   static constexpr Milliseconds kTellTime{150};
 
  private:
   struct Peer {
-    /// Version that it has been told.
-    std::uint64_t told = 0;
-    bool calling = false;
-    /// It did not answer; nobody waits for it until then.
-    MonotonicTime silentUntil{};
+    /// Last version that the neighbour has acknowledged.
+    std::uint64_t acknowledged = 0;
+    bool callInFlight = false;
+    /// When a neighbour that did not answer is called again; callers do not wait for it before
+    /// then.
+    MonotonicTime retryAt{};
   };
   using TimerPointer = std::shared_ptr<boost::asio::steady_timer>;
 
@@ -67,8 +70,8 @@
 
   NewsContext context_;
   std::map<std::string, Peer> peers_;
-  /// Woken when a neighbour has been told or has not answered.
-  std::list<TimerPointer> waiting_;
+  /// Woken when a call to a neighbour ends.
+  std::list<TimerPointer> waiters_;
 };
 
 }  // namespace calicodrift::relay
--- a/src/relay/other_roots.h
+++ b/src/relay/other_roots.h
@@ -7,20 +7,21 @@
 
 namespace calicodrift::relay {
 
-/// The roots of other groups' trees, as the store lists them. A hint, as those lists are: who is
-/// asked may be no root any more, and says so.
+/// The roots of other groups' trees, as listed in the store. The lists may be outdated: a node that
+/// is no longer a root says so when it is called.
 class OtherRoots {
  public:
-  /// @param groups those of the fleet but this node's.
+  /// @param groups all groups of the fleet except this node's.
   OtherRoots(store::ObjectStore& store, const std::vector<std::string>& groups);
 
-  /// All of them, as read a short time ago or now. Lists that can't be read stay as they were.
+  /// The roots of all groups, read from the store at most kReadInterval ago. A list that cannot be
+  /// read keeps its previous value.
   boost::asio::awaitable<std::vector<Endpoint>> read();
-  /// Those of one group.
+  /// The roots of one group.
   boost::asio::awaitable<std::vector<Endpoint>> readOf(std::string group);
 
-  /// Roots change when one fails or stops; until the change is read the other root of the group
-  /// still answers.
+  /// How long a reading is used. Roots change only when one fails or stops; until the change is
+  /// read, the other root of the group still answers.
   static constexpr Milliseconds kReadInterval{5000};
 
  private:
--- a/src/relay/relay_client.cc
+++ b/src/relay/relay_client.cc
@@ -8,19 +8,21 @@
 
 namespace {
 
-/// The relay's own watch ends a little later than the wait that both use; its proof is worth that.
+/// Added to the wait of a watch: the relay's own watch has the same wait but ends a little later,
+/// and its end proves that the view is current.
 constexpr Milliseconds kExtraWait{150};
 
 Result<void> checkOutcome(ViewOutcome outcome) {
   switch (outcome) {
     case ViewOutcome::kServed:
       return boost::outcome_v2::success();
-    case ViewOutcome::kForgotten:
-      return fail(ErrorKind::kVersionConflict, "the relay has forgotten the changes since then");
+    case ViewOutcome::kCompacted:
+      return fail(ErrorKind::kVersionConflict,
+                  "the relay no longer has the changes since the requested revision");
     case ViewOutcome::kNotServing:
       break;
   }
-  return fail(ErrorKind::kStoreUnavailable, "the relay does not serve");
+  return fail(ErrorKind::kStoreUnavailable, "the relay does not serve this node");
 }
 
 }  // namespace
@@ -61,15 +63,15 @@
   co_return batch;
 }
 
-awaitable<Result<JoinReply>> RelayClient::join(Endpoint relay, bool looksOnly) {
+awaitable<Result<JoinReply>> RelayClient::join(Endpoint relay, bool probeOnly) {
   JoinRequest request{settings_.node.value(), settings_.endpoint, settings_.zone.value(),
-                      looksOnly};
+                      probeOnly};
   co_return co_await peer::callPeer<JoinReply>(client_, std::move(relay), kJoinPath,
                                                std::move(request), settings_.joinTimeout,
                                                settings_.joinTimeout);
 }
 
-awaitable<bool> RelayClient::tellRoots(Endpoint root, RelayList list) {
+awaitable<bool> RelayClient::sendRoots(Endpoint root, RelayList list) {
   const store::Revision revision = list.revision;
   const Result<RelayList> known =
       co_await peer::callPeer<RelayList>(client_, std::move(root), kRootsPath, std::move(list),
--- a/src/relay/relay_core.cc
+++ b/src/relay/relay_core.cc
@@ -6,14 +6,14 @@
 namespace calicodrift::relay {
 namespace {
 
-/// Rounds over the known relays before the list is read again.
-constexpr unsigned kMostRounds = 5;
-/// Relays named to a node that is turned away.
-constexpr std::size_t kMostPlaces = 6;
-/// Children that a root with an old view asks in one round.
-constexpr std::size_t kMostChildrenAsked = 3;
-/// What a parent hands on of those that its own parent named.
-constexpr std::size_t kMostHandedOn = 2;
+/// Number of rounds over the known relays before the list is read again.
+constexpr unsigned kMaxRounds = 5;
+/// Number of relays named to a node that is rejected because this one is full.
+constexpr std::size_t kMaxAlternatives = 6;
+/// Number of children that a root with a stale view considers in one round.
+constexpr std::size_t kMaxChildrenProbed = 3;
+/// Number of the parent's alternatives that a node passes on to its children.
+constexpr std::size_t kMaxForwardedAlternatives = 2;
 
 void addOnce(std::vector<Relay>& relays, const Relay& relay, const Endpoint& except) {
   const bool known = std::find(relays.begin(), relays.end(), relay) != relays.end();
@@ -27,13 +27,13 @@
 RelayCore::RelayCore(RelaySettings settings, std::uint64_t seed)
     : settings_(std::move(settings)),
       random_(seed),
-      children_(settings_.maxFollowers, settings_.followerTerm) {}
+      children_(settings_.maxFollowers, settings_.childTimeout) {}
 
 RelayAction RelayCore::next(MonotonicTime now, MonotonicTime provenAt) {
-  if (stoodStill(now)) {
-    awakeSince_ = now;
+  if (isStalled(now)) {
+    runningSince_ = now;
   }
-  steppedAt_ = now;
+  lastStepAt_ = now;
   if (pauseUntil_ == MonotonicTime{}) {
     pauseUntil_ = now + randomDelay(settings_.startDelay);
   }
@@ -60,25 +60,26 @@
     const Relay relay = candidates_.front();
     candidates_.pop_front();
     const bool usable = relay.endpoint != settings_.endpoint && !isDead(relay.endpoint, now);
-    if (usable && asked_.insert(relay.endpoint).second) {
+    if (usable && askedThisRound_.insert(relay.endpoint).second) {
       return ask(relay, false, now);
     }
   }
-  if (!oldRelays_.empty()) {
-    // Nobody has a newer view.
-    candidates_.assign(oldRelays_.begin(), oldRelays_.end());
-    oldRelays_.clear();
-    asked_.clear();
-    acceptsOld_ = true;
+  if (!staleCandidates_.empty()) {
+    // No relay has a newer view.
+    candidates_.assign(staleCandidates_.begin(), staleCandidates_.end());
+    staleCandidates_.clear();
+    askedThisRound_.clear();
+    acceptsStale_ = true;
     return search(now);
   }
-  if (std::exchange(roundHasHope_, false) && beginNextRound(now)) {
+  if (std::exchange(retryRound_, false) && beginNextRound(now)) {
     return {RelayStep::kWait, pauseUntil_, {}, false, {}};
   }
   if (allRootsDead(now) && deadRevision_ != roots_.revision) {
-    // One of the many that find this out replaces a root, and the others read of it.
+    // The random delay lets one of the many nodes that detect this replace a root before the others
+    // read the list.
     deadRevision_ = roots_.revision;
-    nextListRead_ = now + crowdDelay();
+    nextListRead_ = now + contentionDelay();
   }
   if (now < nextListRead_) {
     return {RelayStep::kWait, nextListRead_, {}, false, {}};
@@ -97,11 +98,11 @@
 }
 
 bool RelayCore::beginNextRound(MonotonicTime now) {
-  if (rounds_ >= kMostRounds) {
+  if (rounds_ >= kMaxRounds) {
     return false;
   }
   std::vector<Relay> round = roots_.relays;
-  for (const Relay& relay : others_) {
+  for (const Relay& relay : alternatives_) {
     addOnce(round, relay, settings_.endpoint);
   }
   std::erase_if(round, [this, now](const Relay& relay) {
@@ -113,7 +114,7 @@
   ++rounds_;
   shuffleByZone(round, settings_.zone, random_);
   candidates_.assign(round.begin(), round.end());
-  asked_.clear();
+  askedThisRound_.clear();
   pauseUntil_ = now + settings_.joinRetry / 2 + randomDelay(settings_.joinRetry);
   return true;
 }
@@ -126,31 +127,31 @@
   if (isListed() && now >= nextReview_ && now >= nextListRead_) {
     return readList(now);
   }
-  // The children of a root look out for all below them.
-  const Milliseconds bound = settings_.proofAge + settings_.hopAge;
+  // The children of a root act for all nodes below them.
+  const Milliseconds bound = settings_.proofAge + settings_.maxHopDelay;
   if (depth_ > 1 || !isStale(now, provenAt, bound)) {
-    staleLookAt_.reset();
-    storeSeenAt_.reset();
+    staleListReadAt_.reset();
+    storeReachableAt_.reset();
     return {RelayStep::kWait, nextHeartbeat_, {}, false, {}};
   }
-  if (const auto look = lookAround(others_, now)) {
-    return *look;
+  if (const auto probe = probeForNewerView(alternatives_, now)) {
+    return *probe;
   }
-  if (!staleLookAt_) {
-    staleLookAt_ = now + crowdDelay();
+  if (!staleListReadAt_) {
+    staleListReadAt_ = now + contentionDelay();
   }
-  if (now >= *staleLookAt_ && now >= nextListRead_) {
+  if (now >= *staleListReadAt_ && now >= nextListRead_) {
     return readList(now);
   }
-  const MonotonicTime nextRead = std::max(*staleLookAt_, nextListRead_);
-  return {RelayStep::kWait, std::min({nextHeartbeat_, nextLook_, nextRead}), {}, false, {}};
+  const MonotonicTime nextRead = std::max(*staleListReadAt_, nextListRead_);
+  return {RelayStep::kWait, std::min({nextHeartbeat_, nextProbe_, nextRead}), {}, false, {}};
 }
 
 RelayAction RelayCore::serveAsRoot(MonotonicTime now, MonotonicTime provenAt) {
-  const bool mustTell = !untold_.empty() && now < confirmUntil_;
-  if (mustTell && now >= nextTell_) {
-    askedAt_ = now;
-    return {RelayStep::kTellRoots, {}, untold_.front(), false, newest_};
+  const bool mustTell = !unnotified_.empty() && now < confirmUntil_;
+  if (mustTell && now >= nextAnnounceAt_) {
+    requestSentAt_ = now;
+    return {RelayStep::kAnnounceRoots, {}, unnotified_.front(), false, newest_};
   }
   const MonotonicTime confirm = confirmAt(now, provenAt);
   if (now >= std::min(nextReview_, confirm) && now >= nextListRead_) {
@@ -158,25 +159,26 @@
   }
   std::vector<Relay> others = otherRoots();
   if (isStale(now, provenAt, settings_.proofAge)) {
-    // One of the children may have found a way to the store.
+    // One of the children may have found a path to the store.
     for (const Relay& child :
-         children_.some(kMostChildrenAsked, settings_.zone, settings_.endpoint, now, random_)) {
+         children_.sample(kMaxChildrenProbed, settings_.zone, settings_.endpoint, now, random_)) {
       addOnce(others, child, settings_.endpoint);
     }
   }
-  if (const auto look = lookAround(others, now)) {
-    return *look;
+  if (const auto probe = probeForNewerView(others, now)) {
+    return *probe;
   }
   MonotonicTime until =
-      std::min(nextLook_, std::max(std::min(nextReview_, confirm), nextListRead_));
+      std::min(nextProbe_, std::max(std::min(nextReview_, confirm), nextListRead_));
   if (mustTell) {
-    until = std::min(until, nextTell_);
+    until = std::min(until, nextAnnounceAt_);
   }
   return {RelayStep::kWait, until, {}, false, {}};
 }
 
 MonotonicTime RelayCore::confirmAt(MonotonicTime now, MonotonicTime provenAt) const {
-  // While the store is silent, this node looks for another way to it and reads nothing else.
+  // While the store does not answer, this node looks for another path to it and does not read the
+  // list for confirmation.
   const bool wanted = now < confirmUntil_ && !isStale(now, provenAt, settings_.proofAge);
   return wanted ? confirmedAt_ + settings_.confirmInterval : MonotonicTime::max();
 }
@@ -189,31 +191,31 @@
   if (now - confirmedAt_ <= settings_.tenure) {
     return true;
   }
-  // A view that grew old while the process stood still says nothing of the store.
-  const bool awake = !stoodStill(now) && now - awakeSince_ > settings_.proofAge;
+  // A view that aged while the process was stalled does not show that the store is unreachable.
+  const bool awake = !isStalled(now) && now - runningSince_ > settings_.proofAge;
   const bool storeSilent = storeFailures_ > 0 || isStale(now, provenAt, settings_.proofAge);
   return awake && storeSilent && now - contactAt_ <= settings_.proofAge;
 }
 
-bool RelayCore::stoodStill(MonotonicTime now) const {
-  return steppedAt_ != MonotonicTime{} && now - steppedAt_ > settings_.proofAge;
+bool RelayCore::isStalled(MonotonicTime now) const {
+  return lastStepAt_ != MonotonicTime{} && now - lastStepAt_ > settings_.proofAge;
 }
 
-std::optional<RelayAction> RelayCore::lookAround(const std::vector<Relay>& others,
-                                                 MonotonicTime now) {
-  if (now < nextLook_) {
+std::optional<RelayAction> RelayCore::probeForNewerView(const std::vector<Relay>& others,
+                                                        MonotonicTime now) {
+  if (now < nextProbe_) {
     return std::nullopt;
   }
-  nextLook_ = now + settings_.heartbeatInterval;
+  nextProbe_ = now + settings_.heartbeatInterval;
   if (others.empty()) {
     return std::nullopt;
   }
-  return ask(others[looks_++ % others.size()], true, now);
+  return ask(others[probeCount_++ % others.size()], true, now);
 }
 
-RelayAction RelayCore::ask(const Relay& relay, bool looksOnly, MonotonicTime now) {
-  askedAt_ = now;
-  return {RelayStep::kAsk, {}, relay, looksOnly, {}};
+RelayAction RelayCore::ask(const Relay& relay, bool probeOnly, MonotonicTime now) {
+  requestSentAt_ = now;
+  return {RelayStep::kSendJoin, {}, relay, probeOnly, {}};
 }
 
 RelayAction RelayCore::readList(MonotonicTime now) {
@@ -231,7 +233,7 @@
   if (!serves(now) || circle || depth_ >= settings_.maxDepth) {
     return reply;
   }
-  if (request.looksOnly) {
+  if (request.probeOnly) {
     reply.outcome = JoinOutcome::kAccepted;
     return reply;
   }
@@ -243,21 +245,21 @@
   if (child) {
     reply.outcome = JoinOutcome::kAccepted;
     reply.children = static_cast<std::uint32_t>(children_.size(now));
-    reply.others = placesAfterThis(request.endpoint);
+    reply.alternatives = alternativesFor(request.endpoint);
   } else if (role_ != RelayRole::kSearching) {
     reply.outcome = JoinOutcome::kFull;
-    reply.others = children_.some(kMostPlaces, zone, request.endpoint, now, random_);
+    reply.alternatives = children_.sample(kMaxAlternatives, zone, request.endpoint, now, random_);
   }
   return reply;
 }
 
-std::vector<Relay> RelayCore::placesAfterThis(const Endpoint& asking) const {
+std::vector<Relay> RelayCore::alternativesFor(const Endpoint& asking) const {
   std::vector<Relay> places;
   if (role_ == RelayRole::kChild) {
     addOnce(places, parent_, asking);
   }
-  std::vector<Relay> above = role_ == RelayRole::kRoot ? otherRoots() : others_;
-  above.resize(std::min(above.size(), kMostHandedOn));
+  std::vector<Relay> above = role_ == RelayRole::kRoot ? otherRoots() : alternatives_;
+  above.resize(std::min(above.size(), kMaxForwardedAlternatives));
   for (const Relay& relay : above) {
     addOnce(places, relay, asking);
   }
@@ -268,7 +270,7 @@
   if (stopped_) {
     return false;
   }
-  const bool orphan = orphanSince_ && now - *orphanSince_ < settings_.orphanTerm;
+  const bool orphan = orphanedAt_ && now - *orphanedAt_ < settings_.orphanGracePeriod;
   return role_ != RelayRole::kSearching || orphan;
 }
 
@@ -289,57 +291,59 @@
 }
 
 void RelayCore::replaceRoots(RelayList list, MonotonicTime now) {
-  noteNewest(list, now);
+  recordNewest(list, now);
   roots_ = std::move(list);
 }
 
-void RelayCore::noteNewest(const RelayList& list, MonotonicTime now) {
+void RelayCore::recordNewest(const RelayList& list, MonotonicTime now) {
   if (list.relays != newest_.relays) {
-    // Those that stay must know too: what one of them gave away may now be another's to give.
-    // Who has not heard of the change before this one may go by a list that is older still.
-    std::vector<Relay> concerned(untold_.begin(), untold_.end());
+    // Roots that remain must be notified too, since shares that one of them granted may now belong
+    // to another. A node that has not acknowledged the previous change may follow an even older
+    // list.
+    std::vector<Relay> concerned(unnotified_.begin(), unnotified_.end());
     for (const std::vector<Relay>& relays : {list.relays, newest_.relays}) {
       for (const Relay& relay : relays) {
         addOnce(concerned, relay, settings_.endpoint);
       }
     }
-    untold_.assign(concerned.begin(), concerned.end());
-    settledAt_ = untold_.empty() ? now : now + settings_.tenure;
-    nextTell_ = now;
+    unnotified_.assign(concerned.begin(), concerned.end());
+    settledAt_ = unnotified_.empty() ? now : now + settings_.tenure;
+    nextAnnounceAt_ = now;
   }
   newest_ = list;
 }
 
-void RelayCore::endUnsettled(MonotonicTime now) {
+void RelayCore::markSettled(MonotonicTime now) {
   settledAt_ = std::min(settledAt_, now);
   grantsFrom_ = std::min(grantsFrom_, now);
 }
 
-void RelayCore::onRootsTold(const RelayAction& told, bool acknowledged, MonotonicTime now) {
+void RelayCore::onRootsAnnounced(const RelayAction& announced, bool acknowledged,
+                                 MonotonicTime now) {
   if (acknowledged) {
-    const bool wasOpen = std::erase(untold_, told.relay) > 0;
-    if (wasOpen && untold_.empty()) {
-      endUnsettled(now);
+    const bool wasOpen = std::erase(unnotified_, announced.relay) > 0;
+    if (wasOpen && unnotified_.empty()) {
+      markSettled(now);
     }
     return;
   }
   if (now >= settledAt_ + settings_.reviewInterval) {
-    std::erase(untold_, told.relay);
+    std::erase(unnotified_, announced.relay);
     return;
   }
-  // One that says nothing must not keep the others from hearing.
-  std::erase(untold_, told.relay);
-  untold_.push_back(told.relay);
-  // Once others grant, it is told still, as it may wake from standing still.
-  nextTell_ = now + (now < settledAt_ ? settings_.joinRetry : settings_.confirmInterval);
+  // A root that does not answer must not delay the notification of the others.
+  std::erase(unnotified_, announced.relay);
+  unnotified_.push_back(announced.relay);
+  // It is notified even after others have started to grant, as it may resume after a stall.
+  nextAnnounceAt_ = now + (now < settledAt_ ? settings_.joinRetry : settings_.confirmInterval);
 }
 
 const RelayList& RelayCore::learnRoots(const RelayList& list, MonotonicTime now) {
   contactAt_ = now;
-  // The tree stays as it is until the next look at the list: a root that went by what it is told
-  // would send its children away, and in a time of many changes they would read the store.
+  // The tree is unchanged until the next reading of the list. A root that acted on what it is told
+  // would dismiss its children, and during many changes they would all read the store.
   if (list.revision > newest_.revision) {
-    noteNewest(list, now);
+    recordNewest(list, now);
   }
   return newest_;
 }
@@ -349,72 +353,72 @@
   grantsFrom_ = grantsFrom;
   depth_ = 0;
   attachedAt_ = now;
-  others_.clear();
+  alternatives_.clear();
   candidates_.clear();
-  // Others have joined by then, so that the list can be filled up.
+  // By then other nodes have joined, and missing roots can be appointed.
   nextReview_ = now + 2 * settings_.claimDelay;
   nextListRead_ = now;
-  nextLook_ = now + settings_.heartbeatInterval;
+  nextProbe_ = now + settings_.heartbeatInterval;
 }
 
 void RelayCore::becomeChild(const Relay& parent, const JoinReply& reply, MonotonicTime now) {
   role_ = RelayRole::kChild;
   parent_ = parent;
-  learnPlace(reply, now);
+  updatePosition(reply, now);
   candidates_.clear();
-  oldRelays_.clear();
-  acceptsOld_ = false;
+  staleCandidates_.clear();
+  acceptsStale_ = false;
   attachedAt_ = now;
   missedHeartbeats_ = 0;
   nextHeartbeat_ = now + settings_.heartbeatInterval / 2 + randomDelay(settings_.heartbeatInterval);
-  nextLook_ = now;
-  nextReview_ = now + settings_.followerTerm;
+  nextProbe_ = now;
+  nextReview_ = now + settings_.childTimeout;
   nextListRead_ = now;
-  staleLookAt_.reset();
-  storeSeenAt_.reset();
+  staleListReadAt_.reset();
+  storeReachableAt_.reset();
   deadRevision_.reset();
 }
 
 void RelayCore::beginSearch(std::vector<Relay> candidates, MonotonicTime now) {
   if (role_ != RelayRole::kSearching) {
-    orphanSince_ = now;
+    orphanedAt_ = now;
   }
   role_ = RelayRole::kSearching;
-  others_ = candidates;
+  alternatives_ = candidates;
   candidates_.assign(candidates.begin(), candidates.end());
-  asked_.clear();
-  oldRelays_.clear();
-  acceptsOld_ = false;
+  askedThisRound_.clear();
+  staleCandidates_.clear();
+  acceptsStale_ = false;
   rounds_ = 0;
-  roundHasHope_ = false;
-  nextListRead_ = now + crowdDelay();
+  retryRound_ = false;
+  nextListRead_ = now + contentionDelay();
 }
 
-void RelayCore::noteFailure(const Endpoint& relay, Milliseconds patience, MonotonicTime now) {
+void RelayCore::recordFailure(const Endpoint& relay, Milliseconds gracePeriod, MonotonicTime now) {
   Failure& failure = failures_[relay];
-  if (failure.last == MonotonicTime{} || now - failure.last > settings_.failureTerm) {
+  if (failure.last == MonotonicTime{} || now - failure.last > settings_.failureRetention) {
     failure.first = now;
   }
   failure.last = now;
-  failure.patience = patience;
+  failure.gracePeriod = gracePeriod;
 }
 
 bool RelayCore::isDead(const Endpoint& relay, MonotonicTime now) const {
   const auto found = failures_.find(relay);
-  return found != failures_.end() && now - found->second.last < settings_.failureTerm &&
-         found->second.last - found->second.first >= found->second.patience;
+  return found != failures_.end() && now - found->second.last < settings_.failureRetention &&
+         found->second.last - found->second.first >= found->second.gracePeriod;
 }
 
 bool RelayCore::isStale(MonotonicTime now, MonotonicTime provenAt, Milliseconds bound) const {
   return now - std::max(provenAt, attachedAt_) > bound;
 }
 
-Milliseconds RelayCore::crowdDelay() {
+Milliseconds RelayCore::contentionDelay() {
   if (siblings_ == 0) {
     return randomDelay(settings_.claimDelay);
   }
-  // The children of all roots look at the same time, if they are lost together.
-  const auto crowd = static_cast<std::int64_t>(siblings_ * settings_.leastRelays);
+  // If the roots are lost together, the children of all of them look for a root at the same time.
+  const auto crowd = static_cast<std::int64_t>(siblings_ * settings_.rootCount);
   return randomDelay(std::min(settings_.claimDelay, crowd * settings_.claimDelayPerNode));
 }
 
--- a/src/relay/relay_core_events.cc
+++ b/src/relay/relay_core_events.cc
@@ -1,4 +1,4 @@
-// What a RelayCore makes of what it is told: lists, answers and silences.
+// RelayCore's handling of events: lists, replies and timeouts.
 #include <algorithm>
 #include <utility>
 
@@ -7,28 +7,28 @@
 namespace calicodrift::relay {
 namespace {
 
-/// A connection is refused for a moment while a node restarts.
-constexpr Milliseconds kRefusalPatience{600};
-/// A relay that says nothing is asked twice, as its machine may just be starting.
-constexpr Milliseconds kSilencePatience{200};
-/// A relay that answers without a place looks for one itself.
-constexpr Milliseconds kSearchPatience{2000};
-constexpr unsigned kMostMissedHeartbeats = 2;
-/// A view must be newer by this share of the age at which a view is old to be worth a change of
-/// parent.
-constexpr int kWorthwhileShare = 4;
-constexpr unsigned kMostDoublings = 6;
+/// Grace period for refused connections, as a node refuses them briefly while it restarts.
+constexpr Milliseconds kRefusedGracePeriod{600};
+/// Grace period for timeouts: a relay that does not answer is asked twice, as its machine may be
+/// starting.
+constexpr Milliseconds kTimeoutGracePeriod{200};
+/// Grace period for a relay that answers without serving, as it is looking for a parent itself.
+constexpr Milliseconds kNotServingGracePeriod{2000};
+constexpr unsigned kMaxMissedHeartbeats = 2;
+/// A view must be newer by proofAge divided by this to be worth a change of parent.
+constexpr int kMinImprovementDivisor = 4;
+constexpr unsigned kMaxBackoffDoublings = 6;
 
 }  // namespace
 
 void RelayCore::onList(const Result<RelayList>& list, MonotonicTime now, MonotonicTime provenAt) {
   if (!list) {
-    onStoreSilent(now);
+    onStoreUnavailable(now);
     return;
   }
   storeFailures_ = 0;
   if (!list.value().readable && role_ == RelayRole::kRoot) {
-    // The tree stands as it is: the list is written anew as it was.
+    // The tree stays as it is, and the list is rewritten with its previous contents.
     roots_.revision = list.value().revision;
     nextReview_ = now + settings_.reviewInterval;
     pendingList_ = roots_;
@@ -53,10 +53,10 @@
   }
 }
 
-void RelayCore::onStoreSilent(MonotonicTime now) {
+void RelayCore::onStoreUnavailable(MonotonicTime now) {
   const Milliseconds pause =
-      std::min(settings_.firstStorePause * (1U << std::min(storeFailures_, kMostDoublings)),
-               settings_.longestStorePause);
+      std::min(settings_.minStoreBackoff * (1U << std::min(storeFailures_, kMaxBackoffDoublings)),
+               settings_.maxStoreBackoff);
   ++storeFailures_;
   nextListRead_ = now + pause / 2 + randomDelay(pause);
   rounds_ = 0;
@@ -64,7 +64,7 @@
 
 void RelayCore::onListWhileSearching(bool firstList, MonotonicTime now) {
   if (isListed()) {
-    // Where the first list that a process reads names it, it was a root before it started anew.
+    // If the first list that a process reads names it, it was a root before it restarted.
     becomeRoot(now, firstList ? now : now + settings_.tenure);
     return;
   }
@@ -72,7 +72,7 @@
   if (!usable.empty()) {
     shuffleByZone(usable, settings_.zone, random_);
     candidates_.assign(usable.begin(), usable.end());
-    asked_.clear();
+    askedThisRound_.clear();
     rounds_ = 0;
     nextListRead_ = now + randomDelay(settings_.claimDelay);
     return;
@@ -82,7 +82,7 @@
     return;
   }
   deadRevision_ = roots_.revision;
-  nextListRead_ = now + crowdDelay();
+  nextListRead_ = now + contentionDelay();
 }
 
 void RelayCore::onListAsChild(MonotonicTime now, MonotonicTime provenAt) {
@@ -93,10 +93,10 @@
   if (!isStale(now, provenAt, settings_.proofAge)) {
     return;
   }
-  if (!storeSeenAt_) {
-    // The parent may be about to see the store again as well.
-    storeSeenAt_ = now;
-    nextListRead_ = now + settings_.hopAge;
+  if (!storeReachableAt_) {
+    // The parent may be about to reach the store again as well.
+    storeReachableAt_ = now;
+    nextListRead_ = now + settings_.maxHopDelay;
     return;
   }
   if (roots_.contains(parent_.endpoint)) {
@@ -116,26 +116,26 @@
   }
   const auto place = std::find(roots_.relays.begin(), roots_.relays.end(), self());
   const auto index = static_cast<std::size_t>(place - roots_.relays.begin());
-  if (index >= settings_.leastRelays) {
+  if (index >= settings_.rootCount) {
     RelayList list = roots_;
     std::erase(list.relays, self());
     pendingList_ = std::move(list);
     return;
   }
-  completeRoots(now);
+  appointRoot(now);
 }
 
-void RelayCore::completeRoots(MonotonicTime now) {
+void RelayCore::appointRoot(MonotonicTime now) {
   RelayList list = rootsWithoutDead(now);
   const bool first = !list.relays.empty() && list.relays.front() == self();
-  if (!first || list.relays.size() >= settings_.leastRelays) {
+  if (!first || list.relays.size() >= settings_.rootCount) {
     return;
   }
   const std::vector<Relay> successor =
-      children_.some(1, settings_.zone, settings_.endpoint, now, random_);
+      children_.sample(1, settings_.zone, settings_.endpoint, now, random_);
   if (successor.empty()) {
-    // Nobody has joined yet.
-    nextReview_ = now + settings_.followerTerm;
+    // No node has joined yet.
+    nextReview_ = now + settings_.childTimeout;
     return;
   }
   list.relays.push_back(successor.front());
@@ -153,7 +153,8 @@
   pendingList_.reset();
   deadRevision_.reset();
   if (!written) {
-    // Another node was first, or it is not known whether this one was: the list tells.
+    // Another node wrote first, or the outcome is unknown; the next reading of the list shows
+    // which.
     nextListRead_ = now + randomDelay(settings_.joinRetry);
     nextReview_ = nextListRead_;
     return;
@@ -166,14 +167,14 @@
   }
   confirmedAt_ = listAskedAt_;
   if (role_ != RelayRole::kRoot) {
-    becomeRoot(now, untold_.empty() ? now : settledAt_);
+    becomeRoot(now, unnotified_.empty() ? now : settledAt_);
   }
 }
 
 void RelayCore::onReply(const RelayAction& asked, const Result<JoinReply>& reply, MonotonicTime now,
                         MonotonicTime provenAt) {
   if (!reply) {
-    onSilence(asked, now);
+    onNoReply(asked, now);
     return;
   }
   contactAt_ = now;
@@ -181,10 +182,10 @@
   if (serves) {
     failures_.erase(asked.relay.endpoint);
   } else {
-    noteFailure(asked.relay.endpoint, kSearchPatience, now);
+    recordFailure(asked.relay.endpoint, kNotServingGracePeriod, now);
   }
-  if (asked.looksOnly) {
-    onLook(asked.relay, reply.value(), now, provenAt);
+  if (asked.probeOnly) {
+    onProbeReply(asked.relay, reply.value(), now, provenAt);
   } else if (role_ == RelayRole::kSearching) {
     onReplyWhileSearching(asked.relay, reply.value(), now);
   } else if (role_ == RelayRole::kChild && asked.relay == parent_) {
@@ -196,8 +197,8 @@
                                       MonotonicTime now) {
   if (reply.outcome == JoinOutcome::kAccepted) {
     const bool old = Milliseconds(reply.proofAgeMs) > settings_.freshAge;
-    if (old && !acceptsOld_) {
-      oldRelays_.push_back(relay);
+    if (old && !acceptsStale_) {
+      staleCandidates_.push_back(relay);
     } else {
       becomeChild(relay, reply, now);
     }
@@ -205,66 +206,67 @@
   }
   const bool full = reply.outcome == JoinOutcome::kFull;
   if (full) {
-    candidates_.insert(candidates_.begin(), reply.others.begin(), reply.others.end());
+    candidates_.insert(candidates_.begin(), reply.alternatives.begin(), reply.alternatives.end());
   }
-  roundHasHope_ = roundHasHope_ || full || roots_.contains(relay.endpoint);
+  retryRound_ = retryRound_ || full || roots_.contains(relay.endpoint);
 }
 
 void RelayCore::onParentReply(const JoinReply& reply, MonotonicTime now) {
   missedHeartbeats_ = 0;
   if (reply.outcome != JoinOutcome::kAccepted) {
-    std::vector<Relay> candidates = others_;
-    candidates.insert(candidates.end(), reply.others.begin(), reply.others.end());
+    std::vector<Relay> candidates = alternatives_;
+    candidates.insert(candidates.end(), reply.alternatives.begin(), reply.alternatives.end());
     beginSearch(std::move(candidates), now);
     return;
   }
   const bool wasListed = isListed();
-  learnPlace(reply, now);
+  updatePosition(reply, now);
   if (isListed() && !wasListed) {
-    // A root has chosen this node; the list confirms it.
+    // A root has appointed this node; reading the list confirms it.
     nextReview_ = now;
     nextListRead_ = now;
   }
 }
 
-void RelayCore::learnPlace(const JoinReply& reply, MonotonicTime now) {
+void RelayCore::updatePosition(const JoinReply& reply, MonotonicTime now) {
   depth_ = reply.depth + 1;
   siblings_ = reply.children;
-  others_ = reply.others;
+  alternatives_ = reply.alternatives;
   if (reply.roots.revision > roots_.revision) {
     replaceRoots(reply.roots, now);
   }
 }
 
-void RelayCore::onLook(const Relay& relay, const JoinReply& reply, MonotonicTime now,
-                       MonotonicTime provenAt) {
+void RelayCore::onProbeReply(const Relay& relay, const JoinReply& reply, MonotonicTime now,
+                             MonotonicTime provenAt) {
   const Milliseconds age(reply.proofAgeMs);
   const bool stale = isStale(now, provenAt, settings_.proofAge);
   const bool newer = reply.outcome == JoinOutcome::kAccepted && age < settings_.proofAge &&
-                     age + settings_.proofAge / kWorthwhileShare < now - provenAt;
+                     age + settings_.proofAge / kMinImprovementDivisor < now - provenAt;
   if (stale && newer) {
     beginSearch({relay}, now);
   }
 }
 
-void RelayCore::onSilence(const RelayAction& asked, MonotonicTime now) {
-  const bool heartbeat = role_ == RelayRole::kChild && !asked.looksOnly && asked.relay == parent_;
+void RelayCore::onNoReply(const RelayAction& asked, MonotonicTime now) {
+  const bool heartbeat = role_ == RelayRole::kChild && !asked.probeOnly && asked.relay == parent_;
   if (heartbeat) {
     nextHeartbeat_ = now;
-    if (++missedHeartbeats_ >= kMostMissedHeartbeats) {
-      noteFailure(asked.relay.endpoint, Milliseconds(0), now);
-      beginSearch(others_, now);
+    if (++missedHeartbeats_ >= kMaxMissedHeartbeats) {
+      recordFailure(asked.relay.endpoint, Milliseconds(0), now);
+      beginSearch(alternatives_, now);
     }
     return;
   }
-  // A process that restarts refuses for a moment; a machine that is gone, or starts, says nothing.
-  const bool refused = now - askedAt_ < settings_.joinTimeout;
-  noteFailure(asked.relay.endpoint, refused ? kRefusalPatience : kSilencePatience, now);
-  roundHasHope_ = roundHasHope_ || roots_.contains(asked.relay.endpoint);
+  // A restarting process refuses connections briefly; a machine that is down or booting does not
+  // answer.
+  const bool refused = now - requestSentAt_ < settings_.joinTimeout;
+  recordFailure(asked.relay.endpoint, refused ? kRefusedGracePeriod : kTimeoutGracePeriod, now);
+  retryRound_ = retryRound_ || roots_.contains(asked.relay.endpoint);
   const bool otherRoot = role_ == RelayRole::kRoot && roots_.contains(asked.relay.endpoint);
   if (otherRoot && isDead(asked.relay.endpoint, now)) {
-    // Once: where nothing came of that, the next review is as near as it may be.
-    if (nextReview_ > now + settings_.followerTerm) {
+    // Only once: if the review had no effect, the next one is already as close as allowed.
+    if (nextReview_ > now + settings_.childTimeout) {
       nextReview_ = now + randomDelay(settings_.claimDelay);
     }
   }
--- a/src/relay/relay_list.cc
+++ b/src/relay/relay_list.cc
@@ -17,28 +17,28 @@
 constexpr std::string_view kAddressField = "address";
 constexpr std::string_view kZoneField = "zone";
 
-std::string textIn(const json::object& object, std::string_view field) {
+std::string stringField(const json::object& object, std::string_view field) {
   const json::value* value = object.if_contains(field);
   return value != nullptr && value->is_string() ? std::string(value->get_string()) : std::string();
 }
 
-/// The list, or null where the object holds none.
-const json::array* listIn(const store::Object& object) {
+/// The list of relays, or null if the object has none.
+const json::array* relaysField(const store::Object& object) {
   const json::object* spec = object.spec.if_object();
   const json::value* relays = spec == nullptr ? nullptr : spec->if_contains(kRelaysField);
   return relays == nullptr ? nullptr : relays->if_array();
 }
 
-/// What is malformed in a list is left out.
-std::vector<Relay> relaysIn(const json::array& list) {
+/// Skips malformed entries.
+std::vector<Relay> parseRelays(const json::array& list) {
   std::vector<Relay> found;
   for (const json::value& relay : list) {
     if (!relay.is_object()) {
       continue;
     }
-    const Result<Endpoint> endpoint = parseEndpoint(textIn(relay.get_object(), kAddressField));
+    const Result<Endpoint> endpoint = parseEndpoint(stringField(relay.get_object(), kAddressField));
     if (endpoint) {
-      found.push_back({endpoint.value(), ZoneId(textIn(relay.get_object(), kZoneField))});
+      found.push_back({endpoint.value(), ZoneId(stringField(relay.get_object(), kZoneField))});
     }
   }
   return found;
@@ -61,8 +61,8 @@
   }
   RelayList list;
   list.revision = object.value().revision;
-  if (const json::array* relays = listIn(object.value())) {
-    list.relays = relaysIn(*relays);
+  if (const json::array* relays = relaysField(object.value())) {
+    list.relays = parseRelays(*relays);
     co_return list;
   }
   list.readable = false;
--- a/src/relay/relay_list.h
+++ b/src/relay/relay_list.h
@@ -11,10 +11,10 @@
 
 namespace calicodrift::relay {
 
-/// A node that others may read the store through.
+/// A node through which others may read the store.
 struct Relay {
   Endpoint endpoint;
-  /// Where it stands; bytes between zones cost more.
+  /// Zone of the node; traffic between zones costs more.
   ZoneId zone;
 
   bool operator==(const Relay&) const = default;
@@ -25,16 +25,17 @@
   }
 };
 
-/// The kind of these objects, which are the product's own; each is named by its group.
+/// Kind of the objects that hold the lists of roots, one object per group, named after the group.
 inline constexpr std::string_view kListKind = "calicodrift-relays";
 
-/// The roots of a group's tree, as an object of the store names them. A hint and no more: any
-/// node that has a view of the store serves whoever asks, and nothing depends on who is listed.
+/// The roots of a group's tree, as stored in the store. Readers treat it as a hint: any node that
+/// has a view of the store serves those that ask, whether or not it is listed.
 struct RelayList {
-  /// 0 where the object does not exist yet.
+  /// Revision of the stored object; 0 if there is none.
   store::Revision revision;
   std::vector<Relay> relays;
-  /// False where the object is there but can't be read. Of what a node read itself; not sent.
+  /// False if the object exists but cannot be read. Set by this node's own reading and not sent to
+  /// others.
   bool readable = true;
 
   bool contains(const Endpoint& relay) const;
@@ -45,21 +46,22 @@
   }
 };
 
-/// Reads and changes the list, always on the condition that nobody else has changed it meanwhile.
+/// Reads and writes the list. Writes are conditional on the revision that was read.
 class RelayListStore {
  public:
-  /// @param group whose list this is; the object's name.
+  /// @param group the group of the list; also the name of the object.
   RelayListStore(store::ObjectStore& store, std::string group)
       : store_(store), group_(std::move(group)) {}
 
-  /// Told of each read of a list that can't be read.
+  /// Sets the listener for each reading of a list that cannot be decoded.
   void onUnreadable(std::function<void(const store::Object&, const Error&)> listener) {
     onUnreadable_ = std::move(listener);
   }
-  /// An empty list where there is none, and an empty one with the object's revision where the
-  /// object can't be read, so that it can be written anew. Fails as ObjectStore::get() does.
+  /// Returns an empty list if there is no object. If the object cannot be decoded, returns an empty
+  /// list with the object's revision, so that it can be overwritten. Fails as ObjectStore::get()
+  /// does.
   boost::asio::awaitable<Result<RelayList>> read();
-  /// Gives the list's new revision. Fails as ObjectStore::put() does.
+  /// Returns the new revision of the list. Fails as ObjectStore::put() does.
   boost::asio::awaitable<Result<store::Revision>> write(RelayList list);
 
  private:
--- a/src/relay/relay_node.cc
+++ b/src/relay/relay_node.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-std::string nameOf(RelayRole role) {
+std::string roleName(RelayRole role) {
   switch (role) {
     case RelayRole::kSearching:
       return "searching";
@@ -27,7 +27,7 @@
   return "root";
 }
 
-/// Another one for each start, so that nodes which start together don't stay in step.
+/// Differs for each start, so that nodes which start together do not stay synchronized.
 std::uint64_t seedOf(const RelaySettings& settings) {
   const auto started = std::chrono::duration_cast<Microseconds>(wallNow().time_since_epoch());
   return hashPair(hashBytes(settings.node.value()), static_cast<std::uint64_t>(started.count()));
@@ -55,7 +55,7 @@
 
 void RelayNode::start() {
   if (!settings_.readAges.empty()) {
-    asio::co_spawn(executor_, keepViewsYoung(), asio::detached);
+    asio::co_spawn(executor_, refreshStaleViews(), asio::detached);
   }
   if (alone()) {
     store_.readDirectly();
@@ -148,15 +148,15 @@
       core_.onListWritten(written ? std::optional(written.value()) : std::nullopt, monotonicNow());
       break;
     }
-    case RelayStep::kAsk: {
+    case RelayStep::kSendJoin: {
       const Result<JoinReply> reply =
-          co_await client_.join(action.relay.endpoint, action.looksOnly);
+          co_await client_.join(action.relay.endpoint, action.probeOnly);
       core_.onReply(action, reply, monotonicNow(), store_.provenAt());
       break;
     }
-    case RelayStep::kTellRoots: {
-      const bool acknowledged = co_await client_.tellRoots(action.relay.endpoint, action.list);
-      core_.onRootsTold(action, acknowledged, monotonicNow());
+    case RelayStep::kAnnounceRoots: {
+      const bool acknowledged = co_await client_.sendRoots(action.relay.endpoint, action.list);
+      core_.onRootsAnnounced(action, acknowledged, monotonicNow());
       break;
     }
   }
@@ -167,42 +167,42 @@
   co_await timer_.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-RelayNode::Guards RelayNode::makeGuards() const {
+RelayNode::RefreshSchedulers RelayNode::makeRefreshSchedulers() const {
   Milliseconds shortest = Milliseconds::max();
   for (const auto& [kind, age] : settings_.readAges) {
     shortest = std::min(shortest, age);
   }
-  const ViewGuardSettings settings = viewGuardSettings(shortest);
+  const ViewRefreshSettings settings = viewRefreshSettings(shortest);
   const std::uint64_t seed = seedOf(settings_);
-  Guards guards{ViewGuard(settings, seed), {}, {}};
+  RefreshSchedulers schedulers{ViewRefreshScheduler(settings, seed), {}, {}};
   for (const auto& [kind, age] : settings_.readAges) {
-    guards.kinds.emplace(kind, ViewGuard(settings, hashPair(seed, hashBytes(kind))));
-    guards.order.push_back(kind);
+    schedulers.kinds.emplace(kind, ViewRefreshScheduler(settings, hashPair(seed, hashBytes(kind))));
+    schedulers.order.push_back(kind);
   }
-  return guards;
+  return schedulers;
 }
 
-awaitable<void> RelayNode::keepViewsYoung() {
-  Guards guards = makeGuards();
+awaitable<void> RelayNode::refreshStaleViews() {
+  RefreshSchedulers schedulers = makeRefreshSchedulers();
   asio::steady_timer timer(executor_);
   for (;;) {
-    const MonotonicTime due = nextReading(guards);
+    const MonotonicTime due = nextRefresh(schedulers);
     if (monotonicNow() < due) {
       timer.expires_at(due);
       co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
       continue;
     }
-    const Round round = co_await readOldViews(guards);
-    // A store that answers for one kind is there: silence is the other kind's alone.
-    guards.store.onRead(round.anyRead || !round.timedOut, monotonicNow());
+    const Round round = co_await refreshDueViews(schedulers);
+    // A store that answers for one kind is available; the timeout concerns the other kind only.
+    schedulers.store.onRead(round.anyRead || !round.timedOut, monotonicNow());
     if (round.anyRead && onSourceChanged_) {
       onSourceChanged_();
     }
   }
 }
 
-MonotonicTime RelayNode::nextReading(const Guards& guards) {
-  // For a first view, which comes from this node's place in the tree.
+MonotonicTime RelayNode::nextRefresh(const RefreshSchedulers& schedulers) {
+  // Interval of checks for the first view, which comes from the node's source in the tree.
   constexpr Milliseconds kLookInterval{100};
   MonotonicTime next = MonotonicTime::max();
   for (const auto& [kind, age] : settings_.readAges) {
@@ -211,31 +211,31 @@
       next = std::min(next, monotonicNow() + kLookInterval);
       continue;
     }
-    const MonotonicTime due = guards.store.due(view->provenAt(), age, core_.depth());
-    next = std::min(next, std::max(due, guards.kinds.at(kind).notBefore()));
+    const MonotonicTime due = schedulers.store.due(view->provenAt(), age, core_.depth());
+    next = std::min(next, std::max(due, schedulers.kinds.at(kind).notBefore()));
   }
   return next;
 }
 
-awaitable<RelayNode::Round> RelayNode::readOldViews(Guards& guards) {
+awaitable<RelayNode::Round> RelayNode::refreshDueViews(RefreshSchedulers& schedulers) {
   Round round;
-  const std::vector<std::string> order = guards.order;
+  const std::vector<std::string> order = schedulers.order;
   for (const std::string& kind : order) {
     const WatchCache* view = store_.cache(kind);
-    ViewGuard& guard = guards.kinds.at(kind);
+    ViewRefreshScheduler& scheduler = schedulers.kinds.at(kind);
     const MonotonicTime now = monotonicNow();
-    if (view == nullptr || !view->known() || now < guard.notBefore() ||
+    if (view == nullptr || !view->known() || now < scheduler.notBefore() ||
         now - view->provenAt() < settings_.readAges.at(kind)) {
       continue;
     }
-    const Result<void> read = co_await readView(kind, guard.settings().callTimeout);
-    guard.onRead(static_cast<bool>(read), monotonicNow());
+    const Result<void> read = co_await readView(kind, scheduler.settings().callTimeout);
+    scheduler.onRead(static_cast<bool>(read), monotonicNow());
     if (read) {
       round.anyRead = true;
       continue;
     }
-    std::erase(guards.order, kind);
-    guards.order.push_back(kind);
+    std::erase(schedulers.order, kind);
+    schedulers.order.push_back(kind);
     if (read.error().kind == ErrorKind::kDeadlineExceeded) {
       round.timedOut = true;
       break;
@@ -272,7 +272,7 @@
     onSourceChanged_();
   }
   log::write(log::Level::kInfo, "relay_role",
-             {{"role", nameOf(loggedRole_)},
+             {{"role", roleName(loggedRole_)},
               {"parent", parent ? parent->toString() : ""},
               {"depth", std::to_string(core_.depth())}});
 }
@@ -295,7 +295,7 @@
   Result<RelayList> list = co_await lists_.read();
   const Relay own{settings_.endpoint, settings_.zone};
   if (list && std::erase(list.value().relays, own) > 0) {
-    // A list that keeps this node costs its children one refused connection each.
+    // A list that still names this node costs each of its children one refused connection.
     const Result<store::Revision> written = co_await lists_.write(std::move(list.value()));
     if (!written) {
       log::write(log::Level::kWarning, "relay_still_listed", {{"cause", written.error().detail}});
--- a/src/relay/relay_node.h
+++ b/src/relay/relay_node.h
@@ -13,46 +13,47 @@
 #include "relay/relay_list.h"
 #include "relay/relay_server.h"
 #include "relay/relayed_store.h"
-#include "relay/view_guard.h"
+#include "relay/view_refresh_scheduler.h"
 
 namespace calicodrift::relay {
 
-/// Keeps this node's place in the tree of its group: carries out what the core decides, and reads
-/// the store's kinds from wherever that is. Runs on one thread.
+/// Maintains this node's position in the tree of its group: performs the steps of the RelayCore and
+/// reads the kinds of the store from the current source. Runs on one thread.
 class RelayNode {
  public:
   RelayNode(boost::asio::any_io_executor executor, store::ObjectStore& direct, http::Client& client,
             RelaySettings settings);
 
-  /// Answers other nodes at kViewPath and kJoinPath of this node's address.
+  /// Answers other nodes at kViewPath, kJoinPath and kRootsPath.
   boost::asio::awaitable<void> handle(http::Request& request, http::ResponseWriter& writer);
   void start();
-  /// Sends children away and takes this node off the list of roots.
+  /// Rejects children and removes this node from the list of roots.
   boost::asio::awaitable<void> stop();
   RelayedStore& store() { return store_; }
-  /// Called when views are read from another source than before, or were read from the store
-  /// besides.
+  /// Sets the listener for changes of the source of views, and for reads of views from the store
+  /// itself.
   void onSourceChanged(std::function<void()> listener) { onSourceChanged_ = std::move(listener); }
-  /// Told of each read of the list of roots that can't be read.
+  /// Sets the listener for each reading of a list of roots that cannot be decoded.
   void onUnreadableList(std::function<void(const store::Object&, const Error&)> listener) {
     lists_.onUnreadable(std::move(listener));
   }
-  /// Whether this node reads the store itself now.
+  /// Whether this node currently reads the store itself.
   bool readsStore() const { return store_.readsDirectly(); }
   /// Whether this node is a root of the tree.
   bool isRelay() const { return !alone() && core_.role() == RelayRole::kRoot; }
-  /// Whether this node alone may give away a root's part of what all roots share. Keeps that
-  /// proven by readings of the list for as long as it is asked every RelayCore::kConfirmTerm.
+  /// Whether this node alone may grant a root's share of what all roots share. Keeps the
+  /// confirmation by readings of the list going as long as it is called every
+  /// RelayCore::kConfirmTerm.
   bool mayGrant();
-  /// When former roots have stopped giving away what this node may give now.
+  /// When former roots have stopped granting what this node may grant now.
   MonotonicTime settledAt() const { return core_.settledAt(); }
-  /// The relay that this node follows.
+  /// The relay that this node follows, if any.
   std::optional<Endpoint> relay() const { return core_.parent(); }
-  /// As a root: the other ones, as last read.
+  /// The other roots as last read, if this node is a root.
   std::vector<Endpoint> otherRelays() const;
-  /// The roots of the tree but this node, as last heard, whatever this node's place.
+  /// The roots of the tree other than this node, as last received, whatever this node's position.
   std::vector<Endpoint> roots() const;
-  /// The roots of the newest list that this node was told of, this node too where it is one.
+  /// The roots of the newest list that this node has received, including this node if it is one.
   std::vector<Endpoint> newestRoots() const;
   /// Nodes that follow this one.
   std::vector<Endpoint> children() const { return core_.childEndpoints(monotonicNow()); }
@@ -66,32 +67,33 @@
   boost::asio::awaitable<void> run();
   boost::asio::awaitable<void> carryOut(RelayAction action);
   boost::asio::awaitable<void> wait(MonotonicTime until);
-  /// Reads kinds from the store where their views have grown old, for as long as the node runs.
-  boost::asio::awaitable<void> keepViewsYoung();
-  /// The pauses of keepViewsYoung().
-  struct Guards {
-    /// When any kind is due, and the pause after a round in which the store did not answer.
-    ViewGuard store;
-    /// The pause after a failed call for the kind alone.
-    std::map<std::string, ViewGuard> kinds;
-    /// In which kinds are read.
+  /// Reads kinds whose views have become stale from the store, for as long as the node runs.
+  boost::asio::awaitable<void> refreshStaleViews();
+  /// Schedulers of refreshStaleViews().
+  struct RefreshSchedulers {
+    /// Determines when any kind is due, and the backoff after a round in which the store did not
+    /// answer.
+    ViewRefreshScheduler store;
+    /// The backoff after a failed call, by kind.
+    std::map<std::string, ViewRefreshScheduler> kinds;
+    /// Order in which kinds are read.
     std::vector<std::string> order;
   };
-  Guards makeGuards() const;
-  MonotonicTime nextReading(const Guards& guards);
-  /// What came of a round of readings.
+  RefreshSchedulers makeRefreshSchedulers() const;
+  MonotonicTime nextRefresh(const RefreshSchedulers& schedulers);
+  /// Outcome of a round of reads.
   struct Round {
     bool anyRead = false;
-    /// A call was not answered; kinds after it were not read.
+    /// A call timed out; the kinds after it were not read.
     bool timedOut = false;
   };
-  /// Reads those that are old and not in a pause of their own. A kind that fails is the last of the
-  /// next round.
-  boost::asio::awaitable<Round> readOldViews(Guards& guards);
+  /// Reads the kinds that are due and not in backoff. A kind that fails is read last in the next
+  /// round.
+  boost::asio::awaitable<Round> refreshDueViews(RefreshSchedulers& schedulers);
   boost::asio::awaitable<Result<void>> readView(std::string kind, Milliseconds callTimeout);
   boost::asio::awaitable<void> answerJoin(http::Request& request, http::ResponseWriter& writer);
   boost::asio::awaitable<void> answerRoots(http::Request& request, http::ResponseWriter& writer);
-  /// Reads views from where the core says.
+  /// Sets the source of views according to the role in the core.
   void applyRole();
   void onViewFailed(const Endpoint& relay, const Error& cause);
 
@@ -105,7 +107,7 @@
   boost::asio::steady_timer timer_;
   std::function<void()> onSourceChanged_;
   bool stopped_ = false;
-  /// The place that was last told in the log.
+  /// The position that was last logged.
   RelayRole loggedRole_ = RelayRole::kSearching;
   std::optional<Endpoint> loggedParent_;
 };
--- a/src/relay/relay_server.cc
+++ b/src/relay/relay_server.cc
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// For a node's own first state, while many start together; shorter than a child waits for an
-/// answer.
-constexpr Milliseconds kWaitForFirstState{300};
-/// Bound on what a child may make this node wait.
-constexpr Milliseconds kLongestWait{30'000};
+/// How long a query waits for this node's first state, as when many nodes start together. Shorter
+/// than a child's timeout.
+constexpr Milliseconds kFirstStateTimeout{300};
+/// Upper bound on the wait that a child may request.
+constexpr Milliseconds kMaxWait{30'000};
 
 }  // namespace
 
@@ -26,8 +26,8 @@
 
 awaitable<ViewReply> RelayServer::answer(ViewQuery query) {
   const MonotonicTime arrived = monotonicNow();
-  const MonotonicTime end = arrived + std::min(Milliseconds(query.waitMs), kLongestWait);
-  const MonotonicTime firstStateEnd = arrived + kWaitForFirstState;
+  const MonotonicTime end = arrived + std::min(Milliseconds(query.waitMs), kMaxWait);
+  const MonotonicTime firstStateEnd = arrived + kFirstStateTimeout;
   for (;;) {
     WatchCache* cache = caches_(query.kind);
     if (cache == nullptr || !admits_(query.follower)) {
@@ -65,7 +65,7 @@
   }
   const Result<store::ChangeBatch> changes = cache.changesSince(store::Revision(query.since));
   if (!changes) {
-    reply.outcome = ViewOutcome::kForgotten;
+    reply.outcome = ViewOutcome::kCompacted;
     return reply;
   }
   reply.revision = changes.value().revision.value();
--- a/src/relay/relay_server.h
+++ b/src/relay/relay_server.h
@@ -10,21 +10,22 @@
 
 namespace calicodrift::relay {
 
-/// Answers children from what this node knows of the store, with the age of that.
+/// Answers children from the views of this node and states the age of each view.
 ///
-/// Invariant: no answer claims to be newer than this node's own proof. A node that has lost the
-/// store, or its parent, goes on to answer; its children judge by the age.
+/// Invariant: no reply claims to be newer than this node's own proof. A node that has lost the
+/// store or its parent continues to answer; its children decide by the age of the view.
 class RelayServer {
  public:
-  /// The cache of a kind; null for kinds that are not watched.
+  /// Returns the cache of a kind; null for kinds that are not watched.
   using CacheSource = std::function<WatchCache*(const std::string& kind)>;
-  /// Whether the node of that name is served; asked at each question, which renews its place.
+  /// Returns whether the node is served. Called for every query; a positive answer renews the
+  /// child's place.
   using Admission = std::function<bool(const std::string& node)>;
 
   RelayServer(CacheSource caches, Admission admits)
       : caches_(std::move(caches)), admits_(std::move(admits)) {}
 
-  /// Answers a child's query.
+  /// Answers a query of a child.
   boost::asio::awaitable<void> handle(http::Request& request, http::ResponseWriter& writer);
 
  private:
--- a/src/relay/relay_settings.h
+++ b/src/relay/relay_settings.h
@@ -13,63 +13,68 @@
 struct RelaySettings {
   NodeId node;
   ZoneId zone;
-  /// Nodes of one group form one tree.
+  /// Name of the group; the nodes of a group form one tree.
   std::string group;
-  /// Where other nodes reach this one; without a port it reads the store itself and serves nobody.
+  /// Address at which other nodes reach this one. A node without a port reads the store itself and
+  /// serves no other nodes.
   Endpoint endpoint;
-  /// Children of one node. A tree of depth 2 holds 2 x (1 + 16 + 256) nodes with it.
+  /// Maximum number of children per node. With 16, a tree of depth 2 holds 2 x (1 + 16 + 256)
+  /// nodes.
   std::size_t maxFollowers = 16;
-  /// Roots of a group's tree, so that one that is lost need not be replaced before its children go
-  /// on.
-  std::size_t leastRelays = 2;
-  /// A root that has not heard from the store for so long looks for another; so do its children.
-  /// Longer than a watch of the store, so that it does not come up in a calm time.
+  /// Number of roots of a group's tree. With two, the children of a lost root can continue before
+  /// it is replaced.
+  std::size_t rootCount = 2;
+  /// A root whose view is older than this looks for another source, and so do its children. Longer
+  /// than a watch of the store, so that it is not reached in normal operation.
   Milliseconds proofAge{1000};
-  /// A relay with an older view is followed only where nobody has a newer one. Longer than a watch
-  /// of the store and its way down, and well below proofAge: a root that has just lost the store
-  /// must not be followed by those that leave another one for the same reason.
+  /// A relay with an older view is followed only if no other relay has a newer one. Longer than a
+  /// watch of the store plus the propagation delay, and well below proofAge: a root that has just
+  /// lost the store must not be followed by nodes that leave another root for the same reason.
   Milliseconds freshAge{750};
-  /// A view is older by so much at most at a child than at its parent, where all is well.
-  Milliseconds hopAge{150};
-  /// A child that has not asked for so long no longer counts.
-  Milliseconds followerTerm{3000};
-  /// A relay that did not answer is not asked again for so long.
-  Milliseconds failureTerm{2000};
-  /// Longest random delay before the first look at the list, so that of many nodes that start
-  /// together a few find it empty.
+  /// Largest difference in age between the view of a child and that of its parent in normal
+  /// operation.
+  Milliseconds maxHopDelay{150};
+  /// A child that has not called for this long loses its place.
+  Milliseconds childTimeout{3000};
+  /// How long a failed call to a relay is remembered. A relay that is considered dead is not asked
+  /// again during this time.
+  Milliseconds failureRetention{2000};
+  /// Upper bound of the random delay before the first reading of the list. Of many nodes that start
+  /// together, only a few then find it empty.
   Milliseconds startDelay{200};
-  /// Longest random delay before a node takes the place of a root that does not answer; less where
-  /// fewer nodes are known to look for one at the same time.
+  /// Upper bound of the random delay before a node replaces a root that does not answer. The delay
+  /// is shorter if fewer nodes are known to compete for the place.
   Milliseconds claimDelay{400};
-  /// Part of that delay for each such node: the time of a reading and a writing of the list.
+  /// Share of that delay for each competing node: the time to read and write the list once.
   Milliseconds claimDelayPerNode{8};
-  /// Between two looks of a root at the list.
+  /// Interval at which a root reads the list.
   Milliseconds reviewInterval{10'000};
-  /// A root that was not confirmed for so long has no say over what only one node may give away.
-  /// Long enough for a call to a silent store and a second one.
+  /// How long a root keeps the right to grant shared resources after it was last confirmed by the
+  /// list. Long enough for one call to the store that times out and a second one.
   Milliseconds tenure{2500};
-  /// Between two looks at the list by which a root is confirmed, where that matters.
+  /// Interval at which a root reads the list while its confirmation is needed.
   Milliseconds confirmInterval{1000};
-  /// Between two calls of a child to its parent.
+  /// Interval between two heartbeats of a child to its parent.
   Milliseconds heartbeatInterval{300};
-  /// Before a relay that is not ready to serve is asked again.
+  /// Delay before a relay that is not ready to serve is asked again.
   Milliseconds joinRetry{100};
-  /// For an answer about a place. Many times the way between two zones, as a node that many others
-  /// ask at once answers late.
+  /// Timeout of a join request. Many times the latency between two zones, because a node that many
+  /// others call at once answers late.
   Milliseconds joinTimeout{200};
-  /// Time beyond a watch's wait after which a relay counts as silent.
+  /// How long after the wait of a watch a relay counts as unresponsive.
   Milliseconds callTimeout{400};
-  /// First and longest pause after the store did not answer; it doubles in between, with jitter.
-  Milliseconds firstStorePause{200};
-  Milliseconds longestStorePause{1600};
-  /// A node that lost its parent keeps its own children so long while it looks for another.
-  Milliseconds orphanTerm{2500};
-  /// Depth from which a node takes no children. It ends a circle of nodes that follow each other,
-  /// as the depth rises by each round in it.
+  /// Bounds of the exponential backoff, with jitter, after the store did not answer.
+  Milliseconds minStoreBackoff{200};
+  Milliseconds maxStoreBackoff{1600};
+  /// How long a node that has lost its parent continues to serve its children while it looks for
+  /// another parent.
+  Milliseconds orphanGracePeriod{2500};
+  /// Depth from which a node accepts no children. This breaks cycles of nodes that follow each
+  /// other, as the depth in a cycle grows with each round.
   std::uint32_t maxDepth = 12;
-  /// By kind: a view of this age is read from the store itself, whatever this node's place. Above
-  /// proofAge and hopAge, so that it does not come up in a calm time. Kinds that are missing are
-  /// read by the node's place alone.
+  /// Age, by kind, from which a view is read from the store itself, whatever this node's position
+  /// in the tree. Above proofAge and maxHopDelay, so that it is not reached in normal operation.
+  /// Kinds without an entry are read only from the node's source.
   std::map<std::string, Milliseconds> readAges;
 };
 
--- a/src/relay/relayed_store.cc
+++ b/src/relay/relayed_store.cc
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// Longer than a node usually looks for a parent, and well below the age at which a view counts as
-/// too old.
-constexpr Milliseconds kWaitForSource{300};
-/// A watch that is asked only for what is new.
+/// Longer than a node usually needs to find a parent, and well below the age at which a view counts
+/// as stale.
+constexpr Milliseconds kSourceTimeout{300};
+/// Wait of a watch that only fetches existing changes.
 constexpr Milliseconds kShortestWatch{1};
 
-Error noSource() {
-  return fail(ErrorKind::kStoreUnavailable, "no relay is followed now");
+Error noSourceError() {
+  return fail(ErrorKind::kStoreUnavailable, "there is no source to read from");
 }
 
 }  // namespace
@@ -42,7 +42,7 @@
 MonotonicTime RelayedStore::provenAt() const {
   std::optional<MonotonicTime> oldest;
   for (const auto& [kind, view] : views_) {
-    if (!seldomWatched_.contains(kind)) {
+    if (!excludedKinds_.contains(kind)) {
       oldest = std::min(oldest.value_or(view.sourceProvenAt), view.sourceProvenAt);
     }
   }
@@ -60,33 +60,33 @@
   }
   source_ = source;
   relay_ = relay;
-  ++sourceNumber_;
+  ++sourceGeneration_;
   wakeWaiters();
 }
 
 void RelayedStore::wakeWaiters() {
-  for (const auto& waiter : waiting_) {
+  for (const auto& waiter : waiters_) {
     waiter->cancel();
   }
 }
 
 awaitable<Result<store::Listing>> RelayedStore::list(std::string kind) {
-  // Children may wait for the first state from now on.
+  // From now on children may wait for the first state.
   View& view = viewOf(kind);
-  co_await awaitSource();
+  co_await waitForSource();
   const MonotonicTime asked = monotonicNow();
-  if (hasUntold(view)) {
-    co_return untoldListing(view, asked);
+  if (hasUndelivered(view)) {
+    co_return undeliveredListing(view, asked);
   }
-  Result<store::Listing> listing = co_await listAnywhere(view, std::move(kind));
-  if (hasUntold(view)) {
-    co_return untoldListing(view, asked);
+  Result<store::Listing> listing = co_await listFromSource(view, std::move(kind));
+  if (hasUndelivered(view)) {
+    co_return undeliveredListing(view, asked);
   }
   if (listing && listing.value().revision >= view.cache->revision()) {
     const MonotonicTime provenAt = asked + listing.value().provenAfterAsked;
     view.cache->applyListing(listing.value(), provenAt);
     view.sourceProvenAt = std::max(view.sourceProvenAt, provenAt);
-    noteTold(view);
+    markDelivered(view);
   }
   co_return listing;
 }
@@ -94,67 +94,67 @@
 awaitable<Result<store::ChangeBatch>> RelayedStore::watch(std::string kind, store::Revision since,
                                                           Milliseconds wait) {
   View& view = viewOf(kind);
-  co_await awaitSource();
+  co_await waitForSource();
   const MonotonicTime asked = monotonicNow();
-  if (hasUntold(view)) {
-    co_return untoldChanges(view, since, asked);
+  if (hasUndelivered(view)) {
+    co_return undeliveredChanges(view, since, asked);
   }
-  Result<store::ChangeBatch> batch = co_await watchAnywhere(view, std::move(kind), since, wait);
-  if (hasUntold(view)) {
-    co_return untoldChanges(view, since, asked);
+  Result<store::ChangeBatch> batch = co_await watchFromSource(view, std::move(kind), since, wait);
+  if (hasUndelivered(view)) {
+    co_return undeliveredChanges(view, since, asked);
   }
   if (batch) {
     const MonotonicTime provenAt = store::provenAt(batch.value(), asked, wait, monotonicNow());
     view.cache->applyChanges(batch.value(), provenAt);
     view.sourceProvenAt = std::max(view.sourceProvenAt, provenAt);
-    noteTold(view);
+    markDelivered(view);
   }
   co_return batch;
 }
 
-void RelayedStore::noteTold(View& view) {
-  view.toldProvenAt = view.cache->provenAt();
-  view.toldRevision = view.cache->revision();
+void RelayedStore::markDelivered(View& view) {
+  view.deliveredProvenAt = view.cache->provenAt();
+  view.deliveredRevision = view.cache->revision();
 }
 
-Result<store::Listing> RelayedStore::untoldListing(View& view, MonotonicTime asked) {
+Result<store::Listing> RelayedStore::undeliveredListing(View& view, MonotonicTime asked) {
   store::Listing listing = view.cache->listing();
-  noteTold(view);
-  listing.provenAfterAsked = std::chrono::floor<Milliseconds>(view.toldProvenAt - asked);
+  markDelivered(view);
+  listing.provenAfterAsked = std::chrono::floor<Milliseconds>(view.deliveredProvenAt - asked);
   return listing;
 }
 
-Result<store::ChangeBatch> RelayedStore::untoldChanges(View& view, store::Revision since,
-                                                       MonotonicTime asked) {
-  // Where the changes are forgotten a listing tells.
+Result<store::ChangeBatch> RelayedStore::undeliveredChanges(View& view, store::Revision since,
+                                                            MonotonicTime asked) {
+  // If the history is gone, the reader lists again.
   BOOST_OUTCOME_TRY(store::ChangeBatch batch, view.cache->changesSince(since));
-  noteTold(view);
-  batch.provenAfterAsked = std::chrono::floor<Milliseconds>(view.toldProvenAt - asked);
+  markDelivered(view);
+  batch.provenAfterAsked = std::chrono::floor<Milliseconds>(view.deliveredProvenAt - asked);
   return batch;
 }
 
 awaitable<Result<void>> RelayedStore::refresh(std::string kind, Milliseconds timeout) {
   const auto found = views_.find(kind);
   if (found == views_.end() || !found->second.cache->known()) {
-    co_return fail(ErrorKind::kStoreUnavailable, "nothing was read of the kind yet");
+    co_return fail(ErrorKind::kStoreUnavailable, "the kind has not been read yet");
   }
   View& view = found->second;
-  const Result<void> read = co_await readBeside(view, std::move(kind), timeout);
-  if (read && hasUntold(view)) {
+  const Result<void> read = co_await readFromStore(view, std::move(kind), timeout);
+  if (read && hasUndelivered(view)) {
     ++view.refreshes;
     wakeWaiters();
   }
   co_return read;
 }
 
-awaitable<Result<void>> RelayedStore::readBeside(View& view, std::string kind,
-                                                 Milliseconds timeout) {
+awaitable<Result<void>> RelayedStore::readFromStore(View& view, std::string kind,
+                                                    Milliseconds timeout) {
   const store::Revision since = view.cache->revision();
   MonotonicTime asked = monotonicNow();
   Result<store::ChangeBatch> batch =
       co_await callUntil(asked + timeout, direct_.watch(kind, since, kShortestWatch));
   if (batch) {
-    // The source may have given a newer state meanwhile.
+    // The source may have returned a newer state in the meantime.
     if (batch.value().revision >= view.cache->revision()) {
       view.cache->applyChanges(batch.value(), asked);
     }
@@ -177,41 +177,42 @@
 
 Result<void> RelayedStore::checkProven(const View& view, MonotonicTime asked) {
   if (view.cache->provenAt() < asked) {
-    return fail(ErrorKind::kStoreUnavailable, "what the store gave is older than what is known");
+    return fail(ErrorKind::kStoreUnavailable,
+                "the store returned a state older than the known one");
   }
   return boost::outcome_v2::success();
 }
 
-awaitable<Result<store::Listing>> RelayedStore::listAnywhere(View& view, std::string kind) {
+awaitable<Result<store::Listing>> RelayedStore::listFromSource(View& view, std::string kind) {
   if (source_ == Source::kNone) {
-    co_return noSource();
+    co_return noSourceError();
   }
   if (source_ == Source::kStore) {
-    co_return co_await callUntilLeft(view, direct_.list(std::move(kind)));
+    co_return co_await callUntilSourceChange(view, direct_.list(std::move(kind)));
   }
   const Endpoint relay = relay_;
   Result<store::Listing> listing =
-      co_await callUntilLeft(view, client_.list(relay, std::move(kind)));
-  if (!listing && !hasUntold(view) && relay == relay_ && onRelayFailed_) {
+      co_await callUntilSourceChange(view, client_.list(relay, std::move(kind)));
+  if (!listing && !hasUndelivered(view) && relay == relay_ && onRelayFailed_) {
     onRelayFailed_(relay, listing.error());
   }
   co_return listing;
 }
 
-awaitable<Result<store::ChangeBatch>> RelayedStore::watchAnywhere(View& view, std::string kind,
-                                                                  store::Revision since,
-                                                                  Milliseconds wait) {
+awaitable<Result<store::ChangeBatch>> RelayedStore::watchFromSource(View& view, std::string kind,
+                                                                    store::Revision since,
+                                                                    Milliseconds wait) {
   if (source_ == Source::kNone) {
-    co_return noSource();
+    co_return noSourceError();
   }
   if (source_ == Source::kStore) {
-    co_return co_await callUntilLeft(view, direct_.watch(std::move(kind), since, wait));
+    co_return co_await callUntilSourceChange(view, direct_.watch(std::move(kind), since, wait));
   }
   const Endpoint relay = relay_;
   Result<store::ChangeBatch> batch =
-      co_await callUntilLeft(view, client_.watch(relay, std::move(kind), since, wait));
+      co_await callUntilSourceChange(view, client_.watch(relay, std::move(kind), since, wait));
   const bool failed =
-      !batch && !hasUntold(view) && batch.error().kind != ErrorKind::kVersionConflict;
+      !batch && !hasUndelivered(view) && batch.error().kind != ErrorKind::kVersionConflict;
   if (failed && relay == relay_ && onRelayFailed_) {
     onRelayFailed_(relay, batch.error());
   }
@@ -235,18 +236,18 @@
 }
 
 template <typename Value>
-awaitable<Result<Value>> RelayedStore::callUntilLeft(const View& view,
-                                                     awaitable<Result<Value>> call) {
-  const std::uint64_t source = sourceNumber_;
+awaitable<Result<Value>> RelayedStore::callUntilSourceChange(const View& view,
+                                                             awaitable<Result<Value>> call) {
+  const std::uint64_t source = sourceGeneration_;
   const std::uint64_t refreshes = view.refreshes;
   const auto outcome = begin(std::move(call), MonotonicTime::max());
-  const auto waiter = waiting_.insert(waiting_.end(), outcome->done);
-  while (!outcome->result && source == sourceNumber_ && refreshes == view.refreshes) {
+  const auto waiter = waiters_.insert(waiters_.end(), outcome->done);
+  while (!outcome->result && source == sourceGeneration_ && refreshes == view.refreshes) {
     co_await outcome->done->async_wait(asio::as_tuple(asio::use_awaitable));
   }
-  waiting_.erase(waiter);
+  waiters_.erase(waiter);
   if (!outcome->result) {
-    co_return fail(ErrorKind::kStoreUnavailable, "the source was left");
+    co_return fail(ErrorKind::kStoreUnavailable, "the source changed during the read");
   }
   co_return std::move(*outcome->result);
 }
@@ -258,20 +259,20 @@
     co_await outcome->done->async_wait(asio::as_tuple(asio::use_awaitable));
   }
   if (!outcome->result) {
-    co_return fail(ErrorKind::kDeadlineExceeded, "the store has not answered in time");
+    co_return fail(ErrorKind::kDeadlineExceeded, "the store did not answer in time");
   }
   co_return std::move(*outcome->result);
 }
 
-awaitable<void> RelayedStore::awaitSource() {
+awaitable<void> RelayedStore::waitForSource() {
   if (source_ != Source::kNone) {
     co_return;
   }
   const auto timer =
-      std::make_shared<asio::steady_timer>(executor_, monotonicNow() + kWaitForSource);
-  const auto waiter = waiting_.insert(waiting_.end(), timer);
+      std::make_shared<asio::steady_timer>(executor_, monotonicNow() + kSourceTimeout);
+  const auto waiter = waiters_.insert(waiters_.end(), timer);
   co_await timer->async_wait(asio::as_tuple(asio::use_awaitable));
-  waiting_.erase(waiter);
+  waiters_.erase(waiter);
 }
 
 }  // namespace calicodrift::relay
--- a/src/relay/relayed_store.h
+++ b/src/relay/relayed_store.h
@@ -16,15 +16,15 @@
 
 namespace calicodrift::relay {
 
-/// The store as a node reads it: kinds that it watches come from its parent, or from the store
-/// itself where the node is a root. Single objects and writes always go to the store.
+/// The store as a node reads it: watched kinds come from the parent, or from the store itself if
+/// the node is a root. Reads of single objects and writes always go to the store.
 ///
-/// While the node has neither, reads wait a moment for one and fail then; what was read before is
-/// kept. A read under way is given up when the source changes, so that the next one goes to the new
-/// source at once; also one of the store, which may have fallen silent.
+/// Without a source, reads wait briefly for one and then fail; state that was read before is kept.
+/// When the source changes, a pending read is abandoned, so that the next one goes to the new
+/// source at once. This includes reads of the store, which may have stopped answering.
 ///
-/// A kind may be read from the store besides, whatever the source is: refresh(). What that finds is
-/// the view from then on, is handed on to children, and ends the read that is under way.
+/// refresh() reads a kind from the store whatever the source is. Its result becomes the view, is
+/// passed on to children, and ends the pending read.
 class RelayedStore : public store::ObjectStore {
  public:
   using FailureListener = std::function<void(const Endpoint& relay, const Error& cause)>;
@@ -54,95 +54,96 @@
   /// Reads nothing until a source is set.
   void detach() { setSource(Source::kNone, {}); }
   bool readsDirectly() const { return source_ == Source::kStore; }
-  /// Called where a view could not be read from the relay that is followed.
+  /// Sets the listener for failed reads from the relay that is followed.
   void onRelayFailed(FailureListener listener) { onRelayFailed_ = std::move(listener); }
-  /// What was read of the kind, and will be; null where it was never asked for.
+  /// The cache of the kind; null if the kind was never requested.
   WatchCache* cache(const std::string& kind);
-  /// When all that the sources gave was the newest state for certain: the oldest of the kinds'
-  /// proofs. The epoch of the clock where nothing was read. What refresh() found does not count, as
-  /// it says nothing of a source.
+  /// Latest time at which all kinds were known to be current by what the sources returned: the
+  /// minimum over the kinds. The clock's epoch if nothing was read. Results of refresh() do not
+  /// count, as they say nothing about a source.
   MonotonicTime provenAt() const;
-  /// The kind is watched in long waits while nothing happens, so that the age of its view says
-  /// nothing of the sources: provenAt() leaves it out.
-  void watchSeldom(const std::string& kind) { seldomWatched_.insert(kind); }
-  /// When what is known of the kind was the newest state for certain, by whatever way it was read.
+  /// Excludes the kind from provenAt(): it is watched with long waits while nothing changes, so the
+  /// age of its view says nothing about the sources.
+  void watchSeldom(const std::string& kind) { excludedKinds_.insert(kind); }
+  /// Latest time at which the kind was known to be current, in whatever way it was read.
   MonotonicTime provenAt(const std::string& kind) const;
-  /// Reads from the store what is new of the kind: by a watch, and by a listing where the store has
-  /// forgotten the changes. Fails with kDeadlineExceeded where one of them is not answered within
-  /// `timeout`, and with kStoreUnavailable where the kind has not been read yet or the answer is
-  /// older than what is known: after a success the view is proven for the time of the call.
+  /// Reads the changes of the kind from the store with a watch, or with a listing if the store no
+  /// longer has the history. Fails with kDeadlineExceeded if either call takes longer than
+  /// `timeout`, and with kStoreUnavailable if the kind has not been read yet or the result is older
+  /// than the known state. After a success the view is proven for the time of the call.
   boost::asio::awaitable<Result<void>> refresh(std::string kind, Milliseconds timeout);
 
  private:
   enum class Source { kNone, kRelay, kStore };
-  /// What is known of a kind.
+  /// State of one kind.
   struct View {
     std::unique_ptr<WatchCache> cache;
-    /// The newest proof that a source gave.
+    /// Latest proof given by a source.
     MonotonicTime sourceProvenAt{};
-    /// The proof of what the reader was told last, and the revision of that. A state may be newer
-    /// though its proof is not, as proofs count from when they were asked for.
-    MonotonicTime toldProvenAt{};
-    store::Revision toldRevision;
-    /// Rises with each refresh().
+    /// Proof and revision of what the reader last received. A state may be newer although its proof
+    /// is not, as proofs count from the time of the request.
+    MonotonicTime deliveredProvenAt{};
+    store::Revision deliveredRevision;
+    /// Incremented by each refresh().
     std::uint64_t refreshes = 0;
   };
 
   void setSource(Source source, const Endpoint& relay);
   void wakeWaiters();
   View& viewOf(const std::string& kind);
-  /// Whether refresh() found what the reader has not been told.
-  static bool hasUntold(const View& view) {
-    return view.cache->provenAt() > view.toldProvenAt || view.cache->revision() > view.toldRevision;
+  /// Whether refresh() found a state or proof that the reader has not received.
+  static bool hasUndelivered(const View& view) {
+    return view.cache->provenAt() > view.deliveredProvenAt ||
+           view.cache->revision() > view.deliveredRevision;
   }
-  /// The reader is told what is known now.
-  static void noteTold(View& view);
-  /// That, as the answer to a call that was asked at this time.
-  static Result<store::Listing> untoldListing(View& view, MonotonicTime asked);
-  static Result<store::ChangeBatch> untoldChanges(View& view, store::Revision since,
-                                                  MonotonicTime asked);
-  boost::asio::awaitable<Result<store::Listing>> listAnywhere(View& view, std::string kind);
-  boost::asio::awaitable<Result<store::ChangeBatch>> watchAnywhere(View& view, std::string kind,
-                                                                   store::Revision since,
-                                                                   Milliseconds wait);
-  /// What the store has of the kind beyond what is known, for refresh().
-  boost::asio::awaitable<Result<void>> readBeside(View& view, std::string kind,
-                                                  Milliseconds timeout);
-  /// Fails with kStoreUnavailable where the view is not known to have been the newest at that time.
+  /// Records that the reader has received the current state.
+  static void markDelivered(View& view);
+  /// The undelivered state as the result of a call made at `asked`.
+  static Result<store::Listing> undeliveredListing(View& view, MonotonicTime asked);
+  static Result<store::ChangeBatch> undeliveredChanges(View& view, store::Revision since,
+                                                       MonotonicTime asked);
+  boost::asio::awaitable<Result<store::Listing>> listFromSource(View& view, std::string kind);
+  boost::asio::awaitable<Result<store::ChangeBatch>> watchFromSource(View& view, std::string kind,
+                                                                     store::Revision since,
+                                                                     Milliseconds wait);
+  /// Reads what the store has beyond the known state, for refresh().
+  boost::asio::awaitable<Result<void>> readFromStore(View& view, std::string kind,
+                                                     Milliseconds timeout);
+  /// Fails with kStoreUnavailable unless the view is known to have been current at `asked`.
   static Result<void> checkProven(const View& view, MonotonicTime asked);
-  /// Runs a call to the source until it is done, the source changes or the view is refreshed.
+  /// Awaits a call to the source until it ends, the source changes or the view is refreshed.
   template <typename Value>
-  boost::asio::awaitable<Result<Value>> callUntilLeft(const View& view,
-                                                      boost::asio::awaitable<Result<Value>> call);
-  /// Runs a call until it is done; fails with kDeadlineExceeded where `end` comes before.
+  boost::asio::awaitable<Result<Value>> callUntilSourceChange(
+      const View& view, boost::asio::awaitable<Result<Value>> call);
+  /// Awaits a call until it ends; fails with kDeadlineExceeded if `end` comes first.
   template <typename Value>
   boost::asio::awaitable<Result<Value>> callUntil(MonotonicTime end,
                                                   boost::asio::awaitable<Result<Value>> call);
   template <typename Value>
   struct Outcome {
     std::optional<Result<Value>> result;
-    /// Ends when the result is there.
+    /// Cancelled when the result is available.
     std::shared_ptr<boost::asio::steady_timer> done;
   };
-  /// Begins a call, which goes on to its own end however long its outcome is awaited.
+  /// Starts a call, which runs to its own end no matter how long its outcome is awaited.
   template <typename Value>
   std::shared_ptr<Outcome<Value>> begin(boost::asio::awaitable<Result<Value>> call,
                                         MonotonicTime end);
-  /// Waits a moment for a source where there is none.
-  boost::asio::awaitable<void> awaitSource();
+  /// Waits briefly for a source if there is none.
+  boost::asio::awaitable<void> waitForSource();
 
   boost::asio::any_io_executor executor_;
   store::ObjectStore& direct_;
   RelayClient& client_;
   Source source_ = Source::kNone;
   Endpoint relay_;
-  /// Rises with each change of the source.
-  std::uint64_t sourceNumber_ = 0;
-  /// Woken at each change of the source and each refresh.
-  std::list<std::shared_ptr<boost::asio::steady_timer>> waiting_;
+  /// Incremented by each change of the source.
+  std::uint64_t sourceGeneration_ = 0;
+  /// Woken by each change of the source and each refresh.
+  std::list<std::shared_ptr<boost::asio::steady_timer>> waiters_;
   FailureListener onRelayFailed_;
   std::map<std::string, View> views_;
-  std::set<std::string> seldomWatched_;
+  std::set<std::string> excludedKinds_;
 };
 
 }  // namespace calicodrift::relay
--- a/src/relay/tree_place.h
+++ b/src/relay/tree_place.h
@@ -8,22 +8,22 @@
 
 namespace calicodrift::relay {
 
-/// Where a node stands in the relay tree now, for modules that tell others something along it.
+/// Current position of a node in the relay tree, for modules that send messages along the tree.
 struct TreePlace {
-  /// Where other nodes reach this one; port 0: nowhere.
+  /// Address at which other nodes reach this one; port 0 if they cannot.
   Endpoint endpoint;
-  /// The node that this one follows.
+  /// The node that this one follows, if any.
   std::function<std::optional<Endpoint>()> parent;
   std::function<std::vector<Endpoint>()> children;
-  /// The roots of the tree but this node.
+  /// The roots of the tree other than this node.
   std::function<std::vector<Endpoint>()> roots;
   std::function<bool()> isRoot;
-  /// Whether no other node belongs to this one's tree.
+  /// Whether this node is the only one in its tree.
   std::function<bool()> isAlone;
 };
 
-/// Whom a node tells news: its parent and children, where it `tellsRoots` the other roots, and
-/// those `beyond` its tree. Sorted, each once.
+/// The nodes to which a node sends its changes: its parent and children, the other roots if
+/// `tellsRoots`, and the nodes `beyond` its tree. Sorted, without duplicates.
 std::vector<Endpoint> neighboursIn(const TreePlace& tree, bool tellsRoots,
                                    const std::vector<Endpoint>& beyond);
 
--- a/src/relay/watch_cache.cc
+++ b/src/relay/watch_cache.cc
@@ -10,8 +10,9 @@
 
 namespace {
 
-/// Changes beyond this are forgotten, oldest first; a follower that needs them lists anew.
-constexpr std::size_t kMostRememberedChanges = 1000;
+/// Bound on the history. The oldest changes are dropped first; a follower that needs them has to
+/// list again.
+constexpr std::size_t kMaxHistoryChanges = 1000;
 
 }  // namespace
 
@@ -21,7 +22,7 @@
     objects_[object.name] = object;
   }
   history_.clear();
-  rememberedChanges_ = 0;
+  historyChanges_ = 0;
   historyStart_ = listing.revision;
   known_ = true;
   revision_ = listing.revision;
@@ -39,11 +40,11 @@
     }
   }
   if (!news.changes.empty()) {
-    rememberedChanges_ += news.changes.size();
+    historyChanges_ += news.changes.size();
     history_.push_back(std::move(news));
   }
-  while (rememberedChanges_ > kMostRememberedChanges) {
-    rememberedChanges_ -= history_.front().changes.size();
+  while (historyChanges_ > kMaxHistoryChanges) {
+    historyChanges_ -= history_.front().changes.size();
     historyStart_ = history_.front().revision;
     history_.pop_front();
   }
@@ -59,8 +60,8 @@
   if (!change.removed) {
     return change.object.revision <= revision_;
   }
-  // A removal may carry the revision of the object's last change, so that only an object which was
-  // there again by the known state shows that the removal was before.
+  // A removal may carry the revision of the object's last change. Only an object that has been
+  // created again by the known state shows that the removal came before it.
   const auto held = objects_.find(change.object.name);
   return held != objects_.end() && held->second.revision > change.object.revision &&
          held->second.revision <= revision_;
@@ -68,7 +69,7 @@
 
 void WatchCache::applyChange(const store::Change& change) {
   const auto held = objects_.find(change.object.name);
-  // Objects of a listing may be newer than its revision.
+  // A listing may contain objects that are newer than its revision.
   if (held != objects_.end() && held->second.revision > change.object.revision) {
     return;
   }
@@ -90,7 +91,8 @@
 
 Result<store::ChangeBatch> WatchCache::changesSince(store::Revision since) const {
   if (since < historyStart_) {
-    return fail(ErrorKind::kVersionConflict, "the changes since then are forgotten");
+    return fail(ErrorKind::kVersionConflict,
+                "the history does not reach back to the requested revision");
   }
   store::ChangeBatch changes;
   changes.revision = std::max(since, revision_);
--- a/src/relay/watch_cache.h
+++ b/src/relay/watch_cache.h
@@ -12,42 +12,42 @@
 
 namespace calicodrift::relay {
 
-/// The last known state of one kind with its recent changes, so that nodes which know an earlier
-/// revision can be told what came since. Revisions are the store's own: a follower may go on at
+/// Last known state of one kind with its recent changes, from which nodes that know an earlier
+/// revision are brought up to date. Revisions are those of the store, so a follower can continue at
 /// another relay, or at the store itself, from the revision that it knows.
 class WatchCache {
  public:
   explicit WatchCache(boost::asio::any_io_executor executor) : executor_(std::move(executor)) {}
 
-  /// What this node read, and when it was the newest state for certain.
+  /// Replaces the state by a listing that was known to be current at `provenAt`.
   void applyListing(const store::Listing& listing, MonotonicTime provenAt);
-  /// Changes that the state has already are left out, so that a batch that was read beside a newer
-  /// one takes nothing back.
+  /// Applies a batch that was known to be current at `provenAt`. Changes that the state already has
+  /// are skipped, so a batch that was read concurrently with a newer one reverts nothing.
   void applyChanges(const store::ChangeBatch& batch, MonotonicTime provenAt);
 
-  /// The state without its age.
+  /// The current state, without its age.
   store::Listing listing() const;
-  /// Fails with kVersionConflict where the changes after `since` are not all remembered.
+  /// Fails with kVersionConflict if the history does not reach back to `since`.
   Result<store::ChangeBatch> changesSince(store::Revision since) const;
   store::Revision revision() const { return revision_; }
-  /// Whether any state was read yet.
+  /// Whether any state has been read yet.
   bool known() const { return known_; }
-  /// The state was the newest at this time for certain.
+  /// Latest time at which the state was known to be current.
   MonotonicTime provenAt() const { return provenAt_; }
-  /// Returns at the next state or proof, or at `end`.
+  /// Returns when a new state or proof arrives, or at `end`.
   boost::asio::awaitable<void> waitForNews(MonotonicTime end);
 
  private:
   void wakeWaiters();
-  /// Whether the state has the change of a batch that leads to `reached`.
+  /// Whether the state already has a change from a batch that leads to `reached`.
   bool isKnown(const store::Change& change, store::Revision reached) const;
-  /// Unless the object is known as newer.
+  /// Applies the change unless a newer version of the object is known.
   void applyChange(const store::Change& change);
 
   boost::asio::any_io_executor executor_;
   std::map<std::string, store::Object> objects_;
   std::deque<store::ChangeBatch> history_;
-  std::size_t rememberedChanges_ = 0;
+  std::size_t historyChanges_ = 0;
   store::Revision historyStart_;
   bool known_ = false;
   store::Revision revision_;
--- a/tests/relay/configuration_age_test.cc
+++ b/tests/relay/configuration_age_test.cc
@@ -6,7 +6,7 @@
 namespace calicodrift::relay {
 namespace {
 
-/// A fleet, and how old the configuration may be at a node that can read the store.
+/// A fleet and the bound on the age of the configuration at a node that can read the store.
 struct Fleet {
   std::size_t nodes;
   Milliseconds bound;
@@ -18,26 +18,26 @@
     {73, Milliseconds(3000)},
     {300, Milliseconds(4000)},
 };
-/// The bound holds for a node that has had its path for so much longer than the bound.
+/// The bound holds for a node that has had its path for the bound plus this time.
 constexpr Milliseconds kContactBeyondBound{1000};
 constexpr Milliseconds kStep{50};
 
 SimulatedTree settledTree(const Fleet& fleet, std::uint64_t seed) {
   RelaySettings settings;
-  // As a gateway derives it from the bound.
-  settings.readAges[SimulatedTree::kGuarded] = fleet.bound * 3 / 5;
+  // The value that a gateway derives from the bound.
+  settings.readAges[SimulatedTree::kRefreshedKind] = fleet.bound * 3 / 5;
   SimulatedTree tree(fleet.nodes, 5, seed, settings);
   tree.startAll(Milliseconds(300));
   tree.run(Milliseconds(6000));
   return tree;
 }
 
-/// Takes the store from one set of nodes after another, for whiles that overlap.
-class Strikes {
+/// Makes the store unavailable to varying sets of nodes for overlapping periods.
+class StoreFaults {
  public:
-  explicit Strikes(std::uint64_t seed) : random_(seed) {}
+  explicit StoreFaults(std::uint64_t seed) : random_(seed) {}
 
-  void strike(SimulatedTree& tree) {
+  void inject(SimulatedTree& tree) {
     for (const std::size_t number : pick(tree)) {
       tree.loseStore(number, anyLoss(), Milliseconds(any(300, 9000)));
     }
@@ -61,7 +61,7 @@
     std::vector<std::size_t> picked = roots;
     const std::int64_t kind = any(0, 2);
     if (kind == 1 && !roots.empty()) {
-      // A root and some of those that would take its place.
+      // A root and some of the children that could replace it.
       for (const std::size_t child : tree.childrenOf(roots[0])) {
         if (any(0, 1) == 0) {
           picked.push_back(child);
@@ -88,14 +88,14 @@
     std::size_t worstSecond = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       SimulatedTree tree = settledTree(fleet, seed);
-      Strikes strikes(seed);
-      MonotonicTime nextStrike = tree.now();
+      StoreFaults faults(seed);
+      MonotonicTime nextFault = tree.now();
       Milliseconds oldest{0};
       const MonotonicTime end = tree.now() + Milliseconds(40'000);
       while (tree.now() < end) {
-        if (tree.now() >= nextStrike) {
-          strikes.strike(tree);
-          nextStrike = tree.now() + strikes.pause();
+        if (tree.now() >= nextFault) {
+          faults.inject(tree);
+          nextFault = tree.now() + faults.pause();
         }
         tree.run(kStep);
         oldest = std::max(oldest, tree.oldestViewWithPath(fleet.bound + kContactBeyondBound));
@@ -110,12 +110,12 @@
                                    << oldestOfAll.count() << " ms, " << readings
                                    << " readings in 20 x 40 s, " << worstSecond
                                    << " in the worst second");
-    // A tenth of what the smallest store allows in a second, or two for each node.
+    // A tenth of what the smallest store allows per second, or two for each node.
     BOOST_TEST(worstSecond <= std::max<std::size_t>(200, 2 * fleet.nodes));
   }
 }
 
-BOOST_AUTO_TEST_CASE(calmTreeReadsNothingBesides) {
+BOOST_AUTO_TEST_CASE(treeInNormalOperationReadsNoViewsFromTheStore) {
   for (const Fleet& fleet : kFleets) {
     SimulatedTree tree = settledTree(fleet, 7);
     const std::size_t before = tree.viewReadings();
@@ -134,7 +134,7 @@
         tree.loseStore(root, StoreLoss::kSilent, Milliseconds(9000));
       }
       tree.run(Milliseconds(9000));
-      // The roots themselves, and their children until one has taken a root's place.
+      // The roots themselves, and their children until one of them has replaced a root.
       BOOST_TEST(tree.viewReadings() - before <= 80U, tree.viewReadings() - before << " readings");
       most = std::max(most, tree.viewReadings() - before);
     }
@@ -142,7 +142,7 @@
   BOOST_TEST_MESSAGE("most readings after a loss of both roots: " << most);
 }
 
-BOOST_AUTO_TEST_CASE(storeThatIsAwayForAllIsNotOverrun) {
+BOOST_AUTO_TEST_CASE(storeIsNotFloodedDuringItsOutage) {
   for (const std::size_t nodes : {300U, 3800U}) {
     const Fleet fleet{nodes, Milliseconds(4000)};
     SimulatedTree tree = settledTree(fleet, 7);
--- a/tests/relay/fake_store.h
+++ b/tests/relay/fake_store.h
@@ -10,7 +10,7 @@
 
 namespace calicodrift::relay {
 
-/// A store in memory with one counter of revisions, which can be made to fail.
+/// In-memory store with one revision counter, which can be made to fail.
 class FakeStore : public store::ObjectStore {
  public:
   explicit FakeStore(boost::asio::io_context& context) : context_(context) {}
@@ -105,7 +105,7 @@
   }
 
   bool down = false;
-  /// Before a listing is answered.
+  /// Delay before a listing is answered.
   Milliseconds listDelay{0};
   std::size_t calls = 0;
 
--- a/tests/relay/refresh_race_test.cc
+++ b/tests/relay/refresh_race_test.cc
@@ -33,7 +33,7 @@
   return listing;
 }
 
-/// Answers each call as planned, so that answers may come in any order.
+/// Answers each call as planned, so that answers may arrive in any order.
 struct PlannedStore : store::ObjectStore {
   template <typename Value>
   struct Answer {
@@ -77,7 +77,7 @@
 };
 
 /// A node that reads the store itself and knows `a` at revision 10. The nth watch of a test gets
-/// the nth batch that it plans, whether the reader or a refresh asks.
+/// the nth planned batch, whether the reader or a refresh sends it.
 struct RaceFixture {
   asio::io_context context;
   PlannedStore path{context};
@@ -121,7 +121,7 @@
         [this]() -> asio::awaitable<void> { refreshed = co_await relayed.refresh("k", kTimeout); },
         asio::detached);
   }
-  /// Of `a` as it is known.
+  /// Known revision of `a`.
   std::uint64_t knownRevision() {
     return relayed.cache("k")->listing().objects[0].revision.value();
   }
@@ -129,7 +129,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(refresh_race, RaceFixture)
 
-BOOST_AUTO_TEST_CASE(whatARefreshFoundIsToldThoughTheSourceHasANewerProof) {
+BOOST_AUTO_TEST_CASE(refreshedStateIsDeliveredThoughTheSourceHasANewerProof) {
   plan(50, batchOf({{objectAt("a", 12), false}}, 12));
   plan(10, batchOf({}, 10));
   plan(100, batchOf({{objectAt("a", 11), false}}, 11));
@@ -137,7 +137,7 @@
   run(Milliseconds(5));
   watch();
   run(Milliseconds(25));
-  // The source's proof is newer than the refresh's, which is still under way.
+  // The source's proof is newer than that of the refresh, which is still pending.
   BOOST_REQUIRE(watched.has_value());
   BOOST_REQUIRE(!refreshed.has_value());
   watch();
@@ -207,7 +207,7 @@
   BOOST_TEST(relayed.cache("k")->listing().objects.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(listingAfterAForgottenHistoryHasATimeOutOfItsOwn) {
+BOOST_AUTO_TEST_CASE(listingAfterALostHistoryHasItsOwnTimeout) {
   const Milliseconds mostOfTheTime = kTimeout * 7 / 10;
   path.batches.push_back({mostOfTheTime, fail(ErrorKind::kVersionConflict, "the history is gone")});
   path.listings.push_back({mostOfTheTime, listingOf({objectAt("a", 12)}, 12)});
@@ -218,7 +218,7 @@
   BOOST_TEST(knownRevision() == 12U);
 }
 
-BOOST_AUTO_TEST_CASE(refreshThatIsNotAnsweredSaysSo) {
+BOOST_AUTO_TEST_CASE(refreshThatIsNotAnsweredReportsATimeout) {
   plan(500, batchOf({}, 10));
   refresh();
   run(kTimeout + Milliseconds(50));
--- a/tests/relay/relay_core_test.cc
+++ b/tests/relay/relay_core_test.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Milliseconds kStartSpread{300};
-/// Views this old are still good for every request.
+/// Views up to this age are good for every request.
 constexpr Milliseconds kGoodAge{1500};
 /// Below the age from which requests with keys are refused.
 constexpr Milliseconds kKeyProofAge{3800};
@@ -18,7 +18,7 @@
   return SimulatedTree(nodes, 5, seed, RelaySettings{});
 }
 
-/// A tree in which all have their place.
+/// A tree in which every node has its position.
 SimulatedTree settledTree(std::size_t nodes, std::uint64_t seed = 7) {
   SimulatedTree tree = makeTree(nodes, seed);
   tree.startAll(kStartSpread);
@@ -30,7 +30,7 @@
 
 BOOST_AUTO_TEST_SUITE(relay_core)
 
-BOOST_AUTO_TEST_CASE(crowdThatStartsTogetherAsksTheStoreOnceANode) {
+BOOST_AUTO_TEST_CASE(nodesThatStartTogetherReadTheListOnceEach) {
   for (const std::size_t nodes : kSizes) {
     SimulatedTree tree = makeTree(nodes);
     tree.startAll(kStartSpread);
@@ -38,7 +38,8 @@
     BOOST_TEST(tree.olderThan(kGoodAge) == 0U, nodes << " nodes");
     tree.run(Milliseconds(3500));
     BOOST_TEST(tree.roots().size() == 2U, nodes << " nodes");
-    // A reading each, and the few that found no root before the first was written.
+    // One read per node, plus those of the few nodes that found no root before the first was
+    // written.
     BOOST_TEST(tree.storeCalls() <= nodes + nodes / 4 + 20, tree.storeCalls() << " calls");
     BOOST_TEST(tree.mostChildren() <= 16U);
     BOOST_TEST(tree.greatestDepth() <= (nodes > 600 ? 5U : 4U));
@@ -46,7 +47,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(rootsWhoseMachinesStartLaterKeepTheirPlace) {
-  // Questions to a machine that is not up yet say nothing; they must not cost a root its place.
+  // Calls to a machine that is not up yet time out; this must not cost a root its place.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulatedTree tree = settledTree(300, seed);
     const std::vector<std::size_t> roots = tree.roots();
@@ -67,7 +68,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(treeOfNodesWithSlowLinksIsDeeperAndWhole) {
+BOOST_AUTO_TEST_CASE(treeWithFewChildrenPerNodeIsDeeperAndComplete) {
   RelaySettings settings;
   settings.maxFollowers = 4;
   SimulatedTree tree(600, 5, 7, settings);
@@ -80,16 +81,16 @@
   BOOST_TEST(tree.storeCalls() <= 600U + 170U, tree.storeCalls() << " calls");
 }
 
-BOOST_AUTO_TEST_CASE(calmTreeAsksTheStoreForReviewsAlone) {
+BOOST_AUTO_TEST_CASE(treeInNormalOperationCallsTheStoreForReviewsOnly) {
   SimulatedTree tree = settledTree(300);
   const std::size_t before = tree.storeCalls();
   tree.run(Milliseconds(60'000));
-  // Two roots each 10 s.
+  // Two roots, one review each per 10 s.
   BOOST_TEST(tree.storeCalls() - before <= 14U);
   BOOST_TEST(tree.olderThan(kGoodAge) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(lossOfBothRootsIsMendedBeforeViewsAreTooOld) {
+BOOST_AUTO_TEST_CASE(lossOfBothRootsIsRepairedBeforeViewsAreStale) {
   for (const bool powerOff : {false, true}) {
     for (const std::uint64_t seed : {1U, 2U, 3U}) {
       SimulatedTree tree = settledTree(300, seed);
@@ -97,22 +98,22 @@
       for (const std::size_t root : tree.roots()) {
         tree.kill(root, powerOff);
       }
-      for (int look = 0; look < 30; ++look) {
+      for (int sample = 0; sample < 30; ++sample) {
         tree.run(Milliseconds(200));
-        BOOST_TEST(tree.olderThan(kKeyProofAge) == 0U, "look " << look);
+        BOOST_TEST(tree.olderThan(kKeyProofAge) == 0U, "sample " << sample);
       }
       BOOST_TEST(tree.olderThan(kGoodAge) == 0U);
       BOOST_TEST(tree.roots().size() == 2U);
-      // The roots' children alone may ask the store.
+      // Only the children of the roots may call the store.
       BOOST_TEST(tree.storeCalls() - before <= 90U, tree.storeCalls() - before << " calls");
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(smallFleetHasTheNewestStateTwoSecondsAfterItsRootsAreLost) {
-  // A configuration is to be in force after two seconds on the smallest deployments, also where
-  // both roots are cut off, or cannot reach the store, a moment before.
-  // What passes before the roots notice, and what a way to a server takes, is part of that.
+  // On the smallest deployments a configuration must be in force after two seconds, even if both
+  // roots are killed or lose the store just before. The bound here is lower, because the time until
+  // the roots notice the change and the path to a server are part of the two seconds.
   constexpr Milliseconds kInForce{1700};
   for (const bool cutFromStore : {false, true}) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -126,7 +127,7 @@
       }
       const MonotonicTime lost = tree.now();
       tree.run(kInForce);
-      // Views of all but the lost roots are of after the loss.
+      // Views of all nodes except the lost roots must date from after the loss.
       const std::size_t lostRoots = cutFromStore ? 2 : 0;
       const std::size_t stale = tree.olderThan(std::chrono::floor<Milliseconds>(tree.now() - lost));
       BOOST_TEST(stale <= lostRoots, "seed " << seed << ", cut from the store " << cutFromStore);
@@ -134,9 +135,9 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(relayWhoseViewIsAlmostOldIsNotFollowedWhereAnotherIsFresh) {
+BOOST_AUTO_TEST_CASE(relayWithAnAlmostStaleViewIsNotFollowedIfAnotherIsFresh) {
   // The other root lost the store a moment later: its view is 1,050 ms old when a child looks for a
-  // parent, and would be too old right after.
+  // parent, and would be stale immediately afterwards.
   RelaySettings settings;
   settings.node = NodeId("n");
   settings.endpoint = {"n", 1};
@@ -151,7 +152,7 @@
   core.onList(RelayList{store::Revision(3), {lost, fresh}}, now, {});
   for (int question = 0; question < 2; ++question) {
     action = core.next(now, {});
-    BOOST_REQUIRE((action.step == RelayStep::kAsk));
+    BOOST_REQUIRE((action.step == RelayStep::kSendJoin));
     JoinReply reply;
     reply.outcome = JoinOutcome::kAccepted;
     reply.proofAgeMs = action.relay == fresh ? 300 : 1050;
@@ -196,7 +197,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(restartWhileTheStoreIsAwayBringsNoFlood) {
+BOOST_AUTO_TEST_CASE(restartDuringAStoreOutageDoesNotFloodTheStore) {
   SimulatedTree tree = settledTree(300);
   tree.killAll(false);
   tree.setStoreDown(true);
@@ -211,15 +212,15 @@
   BOOST_TEST(tree.roots().size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(childrenStayWhileTheStoreIsAway) {
+BOOST_AUTO_TEST_CASE(childrenKeepTheirParentDuringAStoreOutage) {
   SimulatedTree tree = settledTree(300);
   tree.setStoreDown(true);
   const std::size_t before = tree.storeCalls();
   tree.run(Milliseconds(4500));
-  // The roots' children look now and then whether it is there for them.
+  // The children of the roots check now and then whether they can reach the store.
   BOOST_TEST(tree.storeCalls() - before <= 150U, tree.storeCalls() - before << " calls");
   tree.setStoreDown(false);
-  // The simulation passes a proof on every 200 ms a level.
+  // The simulation propagates a proof by one level every 200 ms.
   tree.run(Milliseconds(1200));
   BOOST_TEST(tree.olderThan(kGoodAge) == 0U);
 }
@@ -247,14 +248,14 @@
 BOOST_AUTO_TEST_CASE(oneRootThatLosesTheStoreFollowsTheOther) {
   SimulatedTree tree = settledTree(300);
   tree.setCutFromStore(tree.roots()[0], true);
-  for (int look = 0; look < 20; ++look) {
+  for (int sample = 0; sample < 20; ++sample) {
     tree.run(Milliseconds(200));
     BOOST_TEST(tree.olderThan(kKeyProofAge) == 0U);
   }
   BOOST_TEST(tree.olderThan(kGoodAge) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(frozenRootsAreReplacedAndStepDownWhenTheyWake) {
+BOOST_AUTO_TEST_CASE(frozenRootsAreReplacedAndStepDownWhenTheyResume) {
   SimulatedTree tree = settledTree(300);
   const std::vector<std::size_t> frozen = tree.roots();
   for (const std::size_t root : frozen) {
@@ -270,12 +271,12 @@
   BOOST_TEST(tree.olderThan(kGoodAge) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(lostCallsCostNobodyItsView) {
+BOOST_AUTO_TEST_CASE(lostCallsMakeNoViewStale) {
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
     SimulatedTree tree = settledTree(300, seed);
     const std::size_t before = tree.storeCalls();
     tree.setLoss(0.05);
-    for (int look = 0; look < 50; ++look) {
+    for (int sample = 0; sample < 50; ++sample) {
       tree.run(Milliseconds(200));
       BOOST_TEST(tree.olderThan(kKeyProofAge) == 0U);
     }
@@ -283,7 +284,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(rollOverAllCostsAReadingEach) {
+BOOST_AUTO_TEST_CASE(rollingRestartCostsOneListReadPerNode) {
   SimulatedTree tree = settledTree(100);
   const std::size_t before = tree.storeCalls();
   for (std::size_t number = 0; number < tree.size(); ++number) {
--- a/tests/relay/relay_node_test.cc
+++ b/tests/relay/relay_node_test.cc
@@ -15,14 +15,14 @@
 namespace asio = boost::asio;
 constexpr Milliseconds kWatch{60};
 
-/// A port that is free now.
+/// A port that is currently free.
 std::uint16_t freePort(asio::io_context& context) {
   asio::ip::tcp::acceptor acceptor(context,
                                    asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
   return acceptor.local_endpoint().port();
 }
 
-/// One node that watches a kind through its relay. Its path to the store can be cut alone.
+/// A node that watches a kind through its relay. Its own path to the store can be cut.
 struct TestNode {
   TestNode(asio::io_context& context, FakeStore& shared, http::Client& client,
            const RelaySettings& settings)
@@ -121,7 +121,7 @@
   RelayNode relay;
   store::KindWatcher watcher;
   std::map<std::string, boost::json::value> seen;
-  /// Times that reads began to fail.
+  /// Number of times that reads began to fail.
   std::size_t failedReads = 0;
   http::Server server;
 };
@@ -137,27 +137,27 @@
     log::silence();
     settings.group = "z1";
     settings.proofAge = Milliseconds(200);
-    settings.hopAge = Milliseconds(50);
+    settings.maxHopDelay = Milliseconds(50);
     settings.freshAge = Milliseconds(150);
     settings.startDelay = Milliseconds(30);
     settings.claimDelay = Milliseconds(60);
     settings.heartbeatInterval = Milliseconds(50);
     settings.joinRetry = Milliseconds(10);
-    settings.firstStorePause = Milliseconds(20);
-    settings.longestStorePause = Milliseconds(100);
+    settings.minStoreBackoff = Milliseconds(20);
+    settings.maxStoreBackoff = Milliseconds(100);
     settings.callTimeout = Milliseconds(150);
     settings.joinTimeout = Milliseconds(150);
     settings.reviewInterval = Milliseconds(200);
-    settings.followerTerm = Milliseconds(300);
-    settings.failureTerm = Milliseconds(400);
-    settings.orphanTerm = Milliseconds(300);
-    settings.leastRelays = 1;
+    settings.childTimeout = Milliseconds(300);
+    settings.failureRetention = Milliseconds(400);
+    settings.orphanGracePeriod = Milliseconds(300);
+    settings.rootCount = 1;
     shared.set("k", "a", "1");
   }
-  /// The loop must not hold what is gone.
+  /// Pending handlers must not run after the nodes are destroyed.
   ~RelayFixture() { context.stop(); }
 
-  /// Where each node serves.
+  /// Address of each node.
   std::vector<Endpoint> endpoints;
 
   TestNode& addNode() {
@@ -205,8 +205,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(childWaitsForItsParentsFirstState) {
-  // All start together: a child that were sent away until the root has its listing would come back
-  // after ever longer pauses.
+  // All nodes start together. A child that is rejected until the root has its listing would retry
+  // after growing pauses.
   shared.listDelay = Milliseconds(200);
   settings.callTimeout = Milliseconds(400);
   for (int count = 0; count < 6; ++count) {
@@ -220,14 +220,14 @@
 }
 
 BOOST_AUTO_TEST_CASE(twoOfManyNodesReadTheStoreSoThatOneMayBeLost) {
-  settings.leastRelays = 2;
+  settings.rootCount = 2;
   for (int count = 0; count < 8; ++count) {
     addNode();
   }
   run(Milliseconds(1200));
   BOOST_TEST(relays().size() == 2U);
   BOOST_TEST(readers() == 2U);
-  // Its followers go on at the other one; nobody has to become a relay first.
+  // Its followers continue at the other root; no node has to become a root first.
   TestNode& lost = *relays()[0];
   lost.path.cut = true;
   run(settings.proofAge + Milliseconds(150));
@@ -239,7 +239,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(nodesFollowARelayOfTheirOwnZoneWhereThereIsOne) {
-  settings.leastRelays = 2;
+  settings.rootCount = 2;
   settings.zone = ZoneId("z1");
   addNode();
   settings.zone = ZoneId("z2");
@@ -259,12 +259,12 @@
   for (const std::size_t node : {3U, 5U}) {
     BOOST_TEST((nodes[node]->relay.relay() != first));
   }
-  // Elsewhere any will do.
+  // Nodes of other zones may follow any relay.
   BOOST_TEST(nodes[6]->relay.relay().has_value());
 }
 
 BOOST_AUTO_TEST_CASE(nodeThatLosesItsParentHasAnotherBeforeItsViewIsOld) {
-  // It may be asked to serve others in the next moment, and by an old proof it could not.
+  // Other nodes may ask it to serve them at any moment, which it could not do with a stale proof.
   addNode();
   run(Milliseconds(300));
   TestNode& follower = addNode();
@@ -301,7 +301,7 @@
     BOOST_TEST(node->seen.contains("new"));
     BOOST_TEST((monotonicNow() - node->watcher.provenAt() < settings.proofAge));
   }
-  // One of the others has taken its place, and nobody else reads the store.
+  // Another node has replaced it, and no other node reads the store.
   BOOST_TEST(relays().size() == 1U);
   BOOST_TEST(readers() == 1U);
   BOOST_TEST(!lost.relay.isRelay());
@@ -324,13 +324,13 @@
   run(settings.proofAge + Milliseconds(600));
   BOOST_TEST(relays().size() == 1U);
   lost.path.cut = false;
-  run(settings.followerTerm + 2 * settings.claimDelay + Milliseconds(600));
+  run(settings.childTimeout + 2 * settings.claimDelay + Milliseconds(600));
   BOOST_TEST(relays().size() == 1U);
   BOOST_TEST(readers() == 1U);
   BOOST_TEST(!lost.relay.isRelay());
 }
 
-BOOST_AUTO_TEST_CASE(followersOutliveTheirRelay) {
+BOOST_AUTO_TEST_CASE(followersContinueAfterTheirRelayStops) {
   for (int count = 0; count < 4; ++count) {
     addNode();
   }
@@ -344,12 +344,12 @@
     BOOST_TEST(node->seen.contains("new"));
   }
   run(Milliseconds(600));
-  // The stopped node goes on to read for itself, and a new root for the others.
+  // The stopped node reads the store itself, and a new root reads it for the others.
   BOOST_TEST(readers() == 2U);
   BOOST_TEST(stopped.relay.readsStore());
 }
 
-BOOST_AUTO_TEST_CASE(viewsThatGrowOldWhileTheStoreIsAwayMoveNobody) {
+BOOST_AUTO_TEST_CASE(staleViewsDuringAStoreOutageMoveNoNode) {
   for (int count = 0; count < 8; ++count) {
     addNode();
   }
@@ -363,14 +363,14 @@
   shared.down = true;
   const std::size_t before = shared.calls;
   run(Milliseconds(1000));
-  // The root's watches, and now and then a child that looks whether the store is there for it.
+  // The watches of the root, and an occasional check by a child whether it can reach the store.
   BOOST_TEST(shared.calls - before < 160U);
   for (std::size_t node = 0; node < nodes.size(); ++node) {
     BOOST_TEST((nodes[node]->relay.relay() == parents[node]));
   }
   shared.down = false;
   shared.set("k", "new", "3");
-  // A watcher pauses for 400 ms at most after a failed call.
+  // A watcher pauses for at most 400 ms after a failed call.
   run(Milliseconds(600));
   for (const auto& node : nodes) {
     BOOST_TEST(node->seen.contains("new"));
@@ -378,13 +378,13 @@
   BOOST_TEST(readers() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(nodesThatAFullRelayTurnsAwayReadThroughItsChildren) {
+BOOST_AUTO_TEST_CASE(nodesRejectedByAFullRelayReadThroughItsChildren) {
   settings.maxFollowers = 2;
   for (int count = 0; count < 8; ++count) {
     addNode();
   }
   run(Milliseconds(1500));
-  // However many there are, one reads the store.
+  // Only one node reads the store, however many there are.
   BOOST_TEST(relays().size() == 1U);
   BOOST_TEST(readers() == 1U);
   shared.set("k", "b", "2");
@@ -395,7 +395,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(nodeThatIsTurnedAwayByTheStoreIsServedByItsRelay) {
+BOOST_AUTO_TEST_CASE(nodeRejectedByTheStoreIsServedByItsRelay) {
   for (int count = 0; count < 3; ++count) {
     addNode();
   }
@@ -413,7 +413,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(nodesBelowARootWithAnOldViewReadTheStoreThemselves) {
-  // The tree alone would leave them their parent's view for as long as this test runs.
+  // The tree alone would leave them with their parent's view for the whole test.
   settings.maxFollowers = 2;
   settings.proofAge = Milliseconds(60'000);
   settings.freshAge = settings.proofAge;
@@ -429,7 +429,7 @@
   }
   root.path.cut = true;
   shared.set("k", "new", "3");
-  for (int look = 0; look < 10; ++look) {
+  for (int sample = 0; sample < 10; ++sample) {
     run(Milliseconds(100));
     for (const auto& node : nodes) {
       const bool young = monotonicNow() - node->watcher.provenAt() < Milliseconds(600);
--- a/tests/relay/relayed_store_test.cc
+++ b/tests/relay/relayed_store_test.cc
@@ -15,7 +15,7 @@
 /// Far longer than any test runs.
 constexpr Milliseconds kSilence{30'000};
 
-/// A path to the store on which reads under way may never be answered.
+/// A path to the store on which pending reads may never be answered.
 struct Path : store::ObjectStore {
   Path(asio::io_context& context, FakeStore& shared) : context(context), shared(shared) {}
 
@@ -64,7 +64,7 @@
   RelaySettings settings;
   RelayClient client{http, settings};
   RelayedStore relayed{context.get_executor(), path, client};
-  /// Takes connections and says nothing.
+  /// Accepts connections and never answers.
   asio::ip::tcp::acceptor silentRelay{
       context, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)};
   std::optional<Result<store::ChangeBatch>> watched;
@@ -117,7 +117,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(relayed_store, StoreFixture)
 
-BOOST_AUTO_TEST_CASE(readOfASilentStoreIsLeftWhenAnotherSourceIsTaken) {
+BOOST_AUTO_TEST_CASE(readOfAnUnresponsiveStoreIsAbandonedOnASourceChange) {
   path.silent = true;
   watch(known());
   run(Milliseconds(30));
@@ -128,7 +128,7 @@
   BOOST_TEST(!watched->has_value());
 }
 
-BOOST_AUTO_TEST_CASE(refreshEndsAReadFromASilentStore) {
+BOOST_AUTO_TEST_CASE(refreshEndsAReadFromAnUnresponsiveStore) {
   path.silent = true;
   watch(known());
   run(Milliseconds(30));
@@ -145,7 +145,7 @@
   BOOST_TEST((relayed.provenAt("k") >= before));
 }
 
-BOOST_AUTO_TEST_CASE(refreshEndsAReadFromASilentRelay) {
+BOOST_AUTO_TEST_CASE(refreshEndsAReadFromAnUnresponsiveRelay) {
   relayed.follow(silentEndpoint());
   watch(known());
   run(Milliseconds(30));
@@ -157,7 +157,7 @@
   BOOST_TEST(watched->value().changes.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(refreshIsToldToAReaderThatComesLater) {
+BOOST_AUTO_TEST_CASE(refreshedStateIsDeliveredToALaterReader) {
   relayed.follow(silentEndpoint());
   const store::Revision since = known();
   const MonotonicTime before = monotonicNow();
@@ -170,13 +170,13 @@
   BOOST_REQUIRE(watched.has_value());
   BOOST_REQUIRE(watched->has_value());
   BOOST_TEST(watched->value().changes.size() == 1U);
-  // Not newer than it was read, and no older than that.
+  // No newer than the time at which it was read, and no older.
   const MonotonicTime proven = store::provenAt(watched->value(), asked, kWatch, monotonicNow());
   BOOST_TEST((proven <= relayed.provenAt("k")));
   BOOST_TEST((proven >= before - Milliseconds(1)));
 }
 
-BOOST_AUTO_TEST_CASE(refreshOfASilentStoreIsGivenUp) {
+BOOST_AUTO_TEST_CASE(refreshOfAnUnresponsiveStoreTimesOut) {
   path.silent = true;
   const MonotonicTime proven = relayed.provenAt("k");
   refresh();
@@ -186,7 +186,7 @@
   BOOST_TEST((relayed.provenAt("k") == proven));
 }
 
-BOOST_AUTO_TEST_CASE(refreshListsWhereTheHistoryIsForgotten) {
+BOOST_AUTO_TEST_CASE(refreshListsIfTheHistoryIsGone) {
   relayed.follow(silentEndpoint());
   const store::Revision since = known();
   path.forgetful = true;
@@ -205,8 +205,8 @@
   BOOST_TEST(listing->objects.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(refreshSaysNothingOfTheSource) {
-  // Who judges the parent by the age of what it gives must see that age.
+BOOST_AUTO_TEST_CASE(refreshDoesNotCountAsProofOfTheSource) {
+  // Code that judges the parent by the age of its views must see that age.
   relayed.follow(silentEndpoint());
   const MonotonicTime bySource = relayed.provenAt();
   run(Milliseconds(20));
--- a/tests/relay/replaced_roots_test.cc
+++ b/tests/relay/replaced_roots_test.cc
@@ -1,14 +1,13 @@
-// What was seen: a tenant got 301,600 tokens in a window that allows 277,500, while roots of the
-// tree were killed, cut off and replaced.
+// RefreshSchedulers against more nodes granting a root's share than the list of roots names.
 //
-// How it came about: a root that lost its way to the store, or woke from standing still, was
-// replaced in the list of roots, and went on as one until its next look at the list, up to 10 s.
-// Meanwhile its successor handed out the same part of each limit.
+// A root that lost its path to the store, or resumed after a stall, was replaced in the list but
+// continued as a root until its next reading of the list, up to 10 s later. Meanwhile its successor
+// granted the same share of each limit: while roots were killed, cut off and replaced, a tenant got
+// 301,600 tokens in a window that allows 277,500. Nothing but its own reading of the list ended the
+// place of a root; see RelayCore::mayGrant().
 //
-// Cause: nothing ended the place of a root but its own look at the list; see RelayCore::mayGrant().
-//
-// What proved it: in virtual time, with the same strikes, three and more nodes hand out a root's
-// part at once, where the list never names more than two.
+// With the same faults in virtual time, three and more nodes granted a root's share at once,
+// although the list never names more than two.
 
 #include <boost/test/unit_test.hpp>
 
@@ -25,7 +24,7 @@
   return settings;
 }
 
-/// Runs the tree, and gives the most nodes that handed out a root's part at any time.
+/// Runs the tree and returns the largest number of nodes that granted a root's share at any time.
 std::size_t mostGranting(SimulatedTree& tree, Milliseconds duration) {
   std::size_t most = 0;
   for (Milliseconds passed{0}; passed < duration; passed += kStep) {
@@ -55,7 +54,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(rootThatStoodStillGrantsNothingBesideItsSuccessor) {
+BOOST_AUTO_TEST_CASE(rootThatWasStalledGrantsNothingBesideItsSuccessor) {
   for (const std::size_t nodes : {7UL, 24UL, 300UL}) {
     SimulatedTree tree = settledTree(nodes, nodes);
     const std::size_t root = tree.roots().front();
@@ -68,8 +67,8 @@
   }
 }
 
-/// Losses of the store, stand-stills and kills of roots and others, overlapping.
-BOOST_AUTO_TEST_CASE(noMoreGrantThanTheListNamesWhateverFails) {
+/// Overlapping losses of the store, stalls and kills of roots and other nodes.
+BOOST_AUTO_TEST_CASE(noMoreNodesGrantThanTheListNamesUnderFaults) {
   constexpr std::uint64_t kSeeds = 150;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const std::size_t nodes = seed % 2 == 0 ? 7 : 24;
@@ -79,7 +78,7 @@
       return std::uniform_int_distribution<std::int64_t>(from, to)(random);
     };
     std::size_t most = 0;
-    for (int strike = 0; strike < 8; ++strike) {
+    for (int fault = 0; fault < 8; ++fault) {
       const std::vector<std::size_t> roots = tree.roots();
       const bool hitsRoot = any(0, 3) > 0 && !roots.empty();
       const auto victim = hitsRoot ? roots[static_cast<std::size_t>(any(0, 7)) % roots.size()]
--- a/tests/relay/simulated_tree.h
+++ b/tests/relay/simulated_tree.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "relay/relay_core.h"
-#include "relay/view_guard.h"
+#include "relay/view_refresh_scheduler.h"
 #include "support/simulated_network.h"
 
 namespace calicodrift::relay {
@@ -18,23 +18,23 @@
 enum class StoreLoss {
   kNone,
   kRefused,
-  /// Says nothing, so that a call ends by its time-out alone.
+  /// The store does not answer, so that each call ends by its timeout.
   kSilent,
-  /// Turned away at once, as a store does that has too many calls.
+  /// The store rejects calls at once, as when it has too many.
   kTurnedAway,
 };
 
-/// Many RelayCores in virtual time, with a store and views that are as old as their way from it.
+/// Many RelayCores in virtual time, with a store and views whose age depends on their path from it.
 /// The same seed gives the same run.
 class SimulatedTree {
  public:
-  /// The kind whose bound is kept, where settings say so.
-  static constexpr const char* kGuarded = "configuration";
+  /// The kind whose age bound is kept if the settings have a read age for it.
+  static constexpr const char* kRefreshedKind = "configuration";
 
   SimulatedTree(std::size_t nodes, std::size_t zones, std::uint64_t seed, RelaySettings settings)
       : clock_(seed), random_(clock_.random()), settings_(std::move(settings)), zones_(zones) {
-    // A view that was never proven counts as old from the beginning.
-    clock_.run(kBefore);
+    // A view that was never proven is stale from the beginning.
+    clock_.run(kInitialTime);
     for (std::size_t number = 0; number < nodes; ++number) {
       nodes_.emplace_back();
     }
@@ -43,7 +43,7 @@
   MonotonicTime now() const { return clock_.now(); }
   std::size_t size() const { return nodes_.size(); }
 
-  /// Starts a process of the node, `spread` at most from now.
+  /// Starts a process of the node after a random delay of at most `spread`.
   void start(std::size_t number, Milliseconds spread) {
     Node& node = nodes_[number];
     const std::uint64_t incarnation = ++node.incarnation;
@@ -60,9 +60,10 @@
         started.sourceProvenAt = {};
         started.pathSince = now();
         step(number, incarnation);
-        if (settings.readAges.contains(kGuarded)) {
-          started.guard = ViewGuard(viewGuardSettings(settings.readAges[kGuarded]), random_());
-          keepViewYoung(number, incarnation);
+        if (settings.readAges.contains(kRefreshedKind)) {
+          started.scheduler = ViewRefreshScheduler(
+              viewRefreshSettings(settings.readAges[kRefreshedKind]), random_());
+          refreshStaleView(number, incarnation);
         }
       }
     });
@@ -72,7 +73,7 @@
       start(number, spread);
     }
   }
-  /// A killed process refuses connections; one whose machine is off says nothing.
+  /// A killed process refuses connections; a node whose machine is off does not answer.
   void kill(std::size_t number, bool powerOff) {
     ++nodes_[number].incarnation;
     nodes_[number].core.reset();
@@ -96,12 +97,13 @@
       node.pathSince = now();
     }
     if (loss == StoreLoss::kSilent && node.core && node.core->role() == RelayRole::kRoot) {
-      // The watch that is under way.
+      // The pending watch.
       node.watchHangsUntil = now() + kStoreTimeout + delay(kWatch);
     }
     node.loss = loss;
   }
-  /// Loses the store for a while; the longer loss counts where they overlap.
+  /// Makes the store unavailable to the node for `duration`. If losses overlap, the one that ends
+  /// later counts.
   void loseStore(std::size_t number, StoreLoss loss, Milliseconds duration) {
     Node& node = nodes_[number];
     const MonotonicTime end = now() + duration;
@@ -117,18 +119,18 @@
     });
   }
   void setStoreDown(bool down) { storeDown_ = down; }
-  /// Whether roots keep their place confirmed, as they do where a limit is kept.
+  /// Sets whether roots keep their confirmation, as they do where a limit is enforced.
   void setKeepsConfirmed(bool keeps) { keepsConfirmed_ = keeps; }
-  /// Lost calls between nodes, from 0 to 1.
+  /// Share of calls between nodes that are lost, from 0 to 1.
   void setLoss(double loss) { loss_ = loss; }
 
   void run(Milliseconds duration) { clock_.run(duration); }
 
-  /// Calls to the store for the list of roots so far; those that were refused count too.
+  /// Number of calls to the store for the list of roots so far, including failed ones.
   std::size_t storeCalls() const { return storeCalls_; }
-  /// Readings of views from the store itself so far, those that failed too.
+  /// Number of reads of views from the store itself so far, including failed ones.
   std::size_t viewReadings() const { return readings_.size(); }
-  /// The most of these in any second.
+  /// Largest number of these reads within any second.
   std::size_t mostViewReadingsInASecond() const {
     std::size_t most = 0;
     for (auto first = readings_.begin(), last = first; last != readings_.end(); ++last) {
@@ -148,7 +150,7 @@
     }
     return found;
   }
-  /// Null where the node can't act now.
+  /// Null if the node cannot act now.
   RelayCore* coreOf(std::size_t number) {
     Node& node = nodes_[number];
     return node.frozen ? nullptr : node.core.get();
@@ -163,15 +165,15 @@
   static std::size_t numberOf(const Endpoint& endpoint) {
     return std::stoul(endpoint.address.substr(1));
   }
-  /// Of the node's process; changes with each start and kill.
+  /// Incarnation of the node's process; changes with each start and kill.
   std::uint64_t incarnationOf(std::size_t number) const { return nodes_[number].incarnation; }
-  /// Nodes that hand out a root's part of what all roots together may hand out.
+  /// Nodes that grant a root's share of what all roots share.
   std::vector<std::size_t> grantingRoots() const {
     std::vector<std::size_t> found = roots();
     std::erase_if(found, [this](std::size_t number) { return !mayGrant(number); });
     return found;
   }
-  /// Live nodes whose view is older than `age`, or that have none.
+  /// Number of live nodes whose view is older than `age` or that have none.
   std::size_t olderThan(Milliseconds age) {
     std::size_t count = 0;
     for (std::size_t number = 0; number < nodes_.size(); ++number) {
@@ -180,7 +182,7 @@
     }
     return count;
   }
-  /// The oldest view of a node that has had its own path to the store for `contact`.
+  /// Age of the oldest view among the nodes that have had a path to the store for `contact`.
   Milliseconds oldestViewWithPath(Milliseconds contact) {
     Milliseconds oldest{0};
     for (Node& node : nodes_) {
@@ -223,20 +225,21 @@
   }
 
  private:
-  static constexpr Milliseconds kBefore{1'000'000};
+  static constexpr Milliseconds kInitialTime{1'000'000};
   static constexpr Milliseconds kStoreAnswer{4};
   static constexpr Milliseconds kHop{2};
   static constexpr Milliseconds kStoreTimeout{1200};
   static constexpr Milliseconds kRefusal{1};
   /// Longest watch of the store.
   static constexpr Milliseconds kWatch{600};
-  /// How often a root's watches prove its view, and a child asks its parent for the proof.
+  /// Interval at which a root's watches prove its view, and at which a child asks its parent for
+  /// the proof.
   static constexpr Milliseconds kProofInterval{200};
 
   struct Node {
     std::unique_ptr<RelayCore> core;
-    std::optional<ViewGuard> guard;
-    /// As the source gave it, without what the node read besides.
+    std::optional<ViewRefreshScheduler> scheduler;
+    /// As given by the source, without what the node read from the store besides.
     MonotonicTime sourceProvenAt{};
     std::uint64_t incarnation = 0;
     MonotonicTime provenAt{};
@@ -244,16 +247,18 @@
     bool frozen = false;
     StoreLoss loss = StoreLoss::kNone;
     MonotonicTime lossEnd{};
-    /// Since when the store can be reached.
+    /// Since when the node can reach the store.
     MonotonicTime pathSince{};
-    /// A watch of a store that fell silent ends by its time-out, and keeps views from being read.
+    /// A watch of a store that stopped answering ends by its timeout, and no views are read until
+    /// then.
     MonotonicTime watchHangsUntil{};
   };
   ZoneId zoneOf(std::size_t number) const { return ZoneId("z" + std::to_string(number % zones_)); }
   Milliseconds delay(Milliseconds longest) {
     return Milliseconds(std::uniform_int_distribution<std::int64_t>(0, longest.count())(random_));
   }
-  /// Runs `action` for the node unless it was killed meanwhile; later where it is frozen.
+  /// Runs `action` for the node unless it was killed in the meantime; deferred while the node is
+  /// frozen.
   void later(std::size_t number, std::uint64_t incarnation, Milliseconds after,
              std::function<void(Node&)> action) {
     clock_.schedule(after, [this, number, incarnation, action = std::move(action)] {
@@ -304,10 +309,10 @@
           asking.core->onListWritten(written, now());
         });
         break;
-      case RelayStep::kAsk:
+      case RelayStep::kSendJoin:
         ask(number, incarnation, action);
         break;
-      case RelayStep::kTellRoots:
+      case RelayStep::kAnnounceRoots:
         tellRoots(number, incarnation, action);
         break;
     }
@@ -335,7 +340,7 @@
     } else if (asked.core) {
       refreshView(asked);
       reply = asked.core->answer({"n" + std::to_string(number), endpointOf(number),
-                                  zoneOf(number).value(), action.looksOnly},
+                                  zoneOf(number).value(), action.probeOnly},
                                  now(), asked.sourceProvenAt);
     }
     later(number, incarnation, time, [this, number, incarnation, action, reply](Node& node) {
@@ -352,36 +357,36 @@
     }
     later(number, incarnation, silent ? settings_.joinTimeout : kHop,
           [this, number, incarnation, action, silent](Node& node) {
-            node.core->onRootsTold(action, !silent, now());
+            node.core->onRootsAnnounced(action, !silent, now());
             step(number, incarnation);
           });
   }
 
-  /// What RelayNode does beside its place in the tree.
-  void keepViewYoung(std::size_t number, std::uint64_t incarnation) {
+  /// What RelayNode does besides maintaining its position in the tree.
+  void refreshStaleView(std::size_t number, std::uint64_t incarnation) {
     Node& node = nodes_[number];
     refreshFromAbove(node);
-    const Milliseconds readAge = settings_.readAges[kGuarded];
-    const MonotonicTime due = node.guard->due(node.provenAt, readAge, node.core->depth());
+    const Milliseconds readAge = settings_.readAges[kRefreshedKind];
+    const MonotonicTime due = node.scheduler->due(node.provenAt, readAge, node.core->depth());
     const bool known = node.provenAt != MonotonicTime{};
     if (!known || now() < due) {
       const auto wait = std::chrono::ceil<Milliseconds>(due - now());
       later(number, incarnation, known ? wait : kProofInterval,
-            [this, number, incarnation](Node& /*node*/) { keepViewYoung(number, incarnation); });
+            [this, number, incarnation](Node& /*node*/) { refreshStaleView(number, incarnation); });
       return;
     }
     readings_.push_back(now());
     const bool reached = reachesStore(node);
     const MonotonicTime asked = now();
-    const Milliseconds time = std::min(timeOfCall(node), node.guard->settings().callTimeout);
+    const Milliseconds time = std::min(timeOfCall(node), node.scheduler->settings().callTimeout);
     later(number, incarnation, time, [this, number, incarnation, reached, asked](Node& reading) {
-      reading.guard->onRead(reached, now());
+      reading.scheduler->onRead(reached, now());
       if (reached) {
         reading.provenAt = std::max(reading.provenAt, asked);
-        // The read that was under way is given up.
+        // The pending read is abandoned.
         reading.watchHangsUntil = {};
       }
-      keepViewYoung(number, incarnation);
+      refreshStaleView(number, incarnation);
     });
   }
 
@@ -399,7 +404,7 @@
     return storeDown_ ? kStoreTimeout : kStoreAnswer;
   }
 
-  /// Long polls bring what is new above within some milliseconds.
+  /// Long polls propagate changes down the tree within milliseconds.
   void refreshFromAbove(Node& node) {
     std::vector<Node*> way{&node};
     while (way.size() < kLongestWay && way.back()->core && way.back()->core->parent()) {
@@ -413,14 +418,14 @@
   }
   static constexpr std::size_t kLongestWay = 12;
 
-  /// What the watches do meanwhile.
+  /// Applies what the watches have returned in the meantime.
   void refreshView(Node& node) {
     if (!node.core) {
       return;
     }
     const bool root = node.core->role() == RelayRole::kRoot;
     if (!root) {
-      // A read from the store is given up with the place as a root.
+      // A node that stops being a root abandons its read from the store.
       node.watchHangsUntil = {};
     }
     if (now() < node.watchHangsUntil) {
--- a/tests/relay/old_views_test.cc
+++ b/tests/relay/stale_views_test.cc
@@ -11,12 +11,12 @@
 
 namespace asio = boost::asio;
 constexpr Milliseconds kReadAge{200};
-/// Its bound on the age, with what a busy machine takes.
+/// Bound on the age of views, with an allowance for a busy machine.
 constexpr Milliseconds kOldest{400};
 
-/// A store that refuses or never answers watches of some kinds.
-struct PartlyAway : FakeStore {
-  explicit PartlyAway(asio::io_context& context) : FakeStore(context), context(context) {}
+/// A store that rejects or never answers watches of some kinds.
+struct PartlyFailingStore : FakeStore {
+  explicit PartlyFailingStore(asio::io_context& context) : FakeStore(context), context(context) {}
 
   asio::awaitable<Result<store::ChangeBatch>> watch(std::string kind, store::Revision since,
                                                     Milliseconds wait) override {
@@ -37,15 +37,15 @@
   std::size_t refusals = 0;
 };
 
-/// A node that knows two kinds, which nobody watches.
-struct OldViewsFixture {
+/// A node with two known kinds that nothing watches.
+struct StaleViewsFixture {
   asio::io_context context;
-  PartlyAway store{context};
+  PartlyFailingStore store{context};
   http::Client client{context.get_executor()};
   RelayNode relay{context.get_executor(), store, client, settings()};
   std::size_t changes = 0;
 
-  OldViewsFixture() {
+  StaleViewsFixture() {
     log::silence();
     store.set("a", "one", "1");
     store.set("b", "one", "1");
@@ -60,7 +60,7 @@
         asio::detached);
     run(Milliseconds(20));
   }
-  ~OldViewsFixture() { context.stop(); }
+  ~StaleViewsFixture() { context.stop(); }
 
   static RelaySettings settings() {
     RelaySettings settings;
@@ -75,10 +75,10 @@
   Milliseconds age(const std::string& kind) {
     return std::chrono::floor<Milliseconds>(monotonicNow() - relay.store().provenAt(kind));
   }
-  /// The oldest view of the kind over some readings.
+  /// Age of the oldest view of the kind over 100 samples.
   Milliseconds oldest(const std::string& kind) {
     Milliseconds found{0};
-    for (int look = 0; look < 100; ++look) {
+    for (int sample = 0; sample < 100; ++sample) {
       run(Milliseconds(20));
       found = std::max(found, age(kind));
     }
@@ -86,9 +86,9 @@
   }
 };
 
-BOOST_FIXTURE_TEST_SUITE(old_views, OldViewsFixture)
+BOOST_FIXTURE_TEST_SUITE(stale_views, StaleViewsFixture)
 
-BOOST_AUTO_TEST_CASE(oldViewsOfAllKindsAreRead) {
+BOOST_AUTO_TEST_CASE(staleViewsOfAllKindsAreRead) {
   BOOST_TEST(oldest("a") < kOldest);
   BOOST_TEST(age("b") < kOldest);
   BOOST_TEST(changes > 0U);
@@ -99,7 +99,7 @@
   BOOST_TEST(oldest("b") < kOldest);
   BOOST_TEST(age("a") > kOldest);
   BOOST_TEST(changes > 0U);
-  // With pauses of 4 ms at least that double to 100 ms.
+  // The backoff is at least 4 ms and doubles up to 100 ms.
   BOOST_TEST(store.refusals <= 24U);
 }
 
@@ -113,7 +113,7 @@
   store.silent = {"a", "b"};
   oldest("b");
   store.silent.clear();
-  // One and a half times the longest pause.
+  // One and a half times the longest backoff.
   run(kReadAge * 3 / 2 + Milliseconds(100));
   BOOST_TEST(age("a") < kOldest);
   BOOST_TEST(age("b") < kOldest);
--- a/tests/relay/unreadable_list_test.cc
+++ b/tests/relay/unreadable_list_test.cc
@@ -8,7 +8,7 @@
 
 constexpr MonotonicTime kStart{std::chrono::hours(1)};
 
-/// A root that stands alone, and the time.
+/// A single root and the current time.
 struct RootFixture {
   RootFixture() {
     settings.node = NodeId("n1");
@@ -23,7 +23,7 @@
     BOOST_REQUIRE((core->role() == RelayRole::kRoot));
   }
 
-  /// What the core does next, after its waits.
+  /// The core's next step after its waits.
   RelayAction nextStep() {
     RelayAction action = core->next(now, now);
     while (action.step == RelayStep::kWait) {
@@ -47,7 +47,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(unreadable_list, RootFixture)
 
-BOOST_AUTO_TEST_CASE(aRootWritesItAnewAsItWasAndStaysOne) {
+BOOST_AUTO_TEST_CASE(rootRewritesAnUnreadableListAndStaysRoot) {
   BOOST_REQUIRE((nextStep().step == RelayStep::kReadList));
   core->onList(unreadableList(9), now, now);
   const RelayAction action = nextStep();
@@ -59,7 +59,7 @@
   BOOST_TEST((core->role() == RelayRole::kRoot));
 }
 
-BOOST_AUTO_TEST_CASE(aWriteThatAnotherNodeWasFasterWithLeadsToAnotherReading) {
+BOOST_AUTO_TEST_CASE(writeConflictLeadsToAnotherRead) {
   BOOST_REQUIRE((nextStep().step == RelayStep::kReadList));
   core->onList(unreadableList(9), now, now);
   BOOST_REQUIRE((nextStep().step == RelayStep::kWriteList));
@@ -71,7 +71,7 @@
 
 BOOST_AUTO_TEST_SUITE(relayed_objects)
 
-BOOST_AUTO_TEST_CASE(anObjectThatIsNoJsonHasANullSpecAndKeepsItsPlace) {
+BOOST_AUTO_TEST_CASE(objectThatIsNotJsonHasANullSpecAndKeepsItsName) {
   ViewObject message;
   message.name = "bad";
   message.revision = 7;
--- a/tests/relay/watch_cache_test.cc
+++ b/tests/relay/watch_cache_test.cc
@@ -34,7 +34,7 @@
     cache.applyListing(listing, begin);
   }
 
-  /// Of the object as it is known; 0 where there is none.
+  /// Known revision of the object; 0 if there is none.
   std::uint64_t revisionOf(const std::string& name) const {
     for (const store::Object& object : cache.listing().objects) {
       if (object.name == name) {
@@ -47,7 +47,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(watch_cache, CacheFixture)
 
-BOOST_AUTO_TEST_CASE(tellsWhatCameSinceARevision) {
+BOOST_AUTO_TEST_CASE(returnsChangesSinceARevision) {
   cache.applyChanges(batchOf({{objectAt("c", 12), false}, {objectAt("a", 13), true}}, 14), begin);
   const auto all = cache.changesSince(store::Revision(10));
   BOOST_REQUIRE(all);
@@ -66,7 +66,7 @@
   BOOST_TEST(changes.value().changes[0].object.name == "d");
 }
 
-BOOST_AUTO_TEST_CASE(forgottenHistoryIsSaid) {
+BOOST_AUTO_TEST_CASE(droppedHistoryIsReported) {
   const auto changes = cache.changesSince(store::Revision(9));
   BOOST_REQUIRE(!changes);
   BOOST_TEST((changes.error().kind == ErrorKind::kVersionConflict));
@@ -91,7 +91,8 @@
 
 BOOST_AUTO_TEST_CASE(olderChangeDoesNotReplaceANewerOne) {
   cache.applyChanges(batchOf({{objectAt("a", 12), false}}, 12), begin);
-  // Both were asked for since the same revision; the older is alone or with what is newer.
+  // Both batches were requested from the same revision; the older change arrives alone or together
+  // with newer ones.
   cache.applyChanges(batchOf({{objectAt("a", 11), false}}, 11), begin);
   BOOST_TEST((revisionOf("a") == 12U));
   cache.applyChanges(batchOf({{objectAt("a", 11), false}, {objectAt("c", 13), false}}, 13), begin);
@@ -129,7 +130,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(objectThatIsNewerThanItsListingIsNotReplacedByAnOlderChange) {
-  // A listing of several pages has its first page's revision.
+  // A listing of several pages has the revision of its first page.
   store::Listing listing;
   listing.revision = store::Revision(20);
   listing.objects = {objectAt("a", 23)};
@@ -140,7 +141,7 @@
   BOOST_TEST((revisionOf("a") == 0U));
 }
 
-BOOST_AUTO_TEST_CASE(newsEndTheWait) {
+BOOST_AUTO_TEST_CASE(updatesEndTheWait) {
   bool woken = false;
   asio::co_spawn(
       context,
