--- a/src/lease/candidates.cc
+++ b/src/lease/candidates.cc
@@ -7,17 +7,17 @@
 namespace calicodrift::lease {
 namespace {
 
-std::pair<std::uint64_t, NodeId> rankOf(const peer::PeerInfo& node, std::string_view lease) {
+std::pair<std::uint64_t, NodeId> candidateRank(const peer::PeerInfo& node, std::string_view lease) {
   return {hashBytes(node.id.value(), hashBytes(lease)), node.id};
 }
 
 }  // namespace
 
 bool isCandidate(const peer::PeerDirectory& directory, std::string_view lease, std::size_t count) {
-  const auto own = rankOf(directory.self(), lease);
+  const auto own = candidateRank(directory.self(), lease);
   std::size_t ahead = 0;
   for (const peer::PeerInfo& peer : directory.alivePeers()) {
-    ahead += rankOf(peer, lease) < own ? 1 : 0;
+    ahead += candidateRank(peer, lease) < own ? 1 : 0;
   }
   return ahead < count;
 }
--- a/src/lease/candidates.h
+++ b/src/lease/candidates.h
@@ -9,13 +9,13 @@
 
 namespace calicodrift::lease {
 
-/// Whether this node is one of the `count` candidates for a lease: those of the nodes believed to
-/// be alive whose ids hash lowest with the lease's name. So only a few nodes of a large fleet read
-/// the lease, and when one dies another takes its place without any message. Views may differ for
-/// a while, which costs a few more readers: exclusion rests on the store alone.
+/// Whether this node is one of the `count` candidates for a lease: the live nodes whose ids, hashed
+/// with the name of the lease, rank lowest. Only a few nodes of a large fleet then read the lease,
+/// and a dead candidate is replaced without any message. Nodes whose membership views differ for a
+/// while cause a few more readers; mutual exclusion relies on the store alone.
 bool isCandidate(const peer::PeerDirectory& directory, std::string_view lease, std::size_t count);
 
-/// isCandidate() asked anew only now and then, as it looks at every node of the fleet.
+/// Caches isCandidate(), which iterates over all nodes of the fleet, for one second.
 class Candidacy {
  public:
   Candidacy(const peer::PeerDirectory& directory, std::string lease, std::size_t count)
--- a/src/lease/lease_core.cc
+++ b/src/lease/lease_core.cc
@@ -5,10 +5,10 @@
 namespace calicodrift::lease {
 namespace {
 
-/// Writes whose answers may still be outstanding; older ones can't be valid any more.
-constexpr std::size_t kRememberedWrites = 16;
+/// Number of writes whose replies may be outstanding; older ones can no longer be valid.
+constexpr std::size_t kMaxTrackedWrites = 16;
 
-/// The holder's clock may be slow and the candidate's fast, each by `drift`.
+/// The holder's clock may be slow and the candidate's clock fast, each by `drift`.
 Milliseconds driftMargin(Milliseconds duration, double drift) {
   const double margin = static_cast<double>(duration.count()) * 2 * drift / (1 - drift);
   return Milliseconds(static_cast<std::int64_t>(margin) + 1);
@@ -17,27 +17,27 @@
 }  // namespace
 
 LeaseAction LeaseCore::next(MonotonicTime now, bool mayAcquire) {
-  const bool concerned = mayAcquire || ownsRecord();
-  if (now < nextAttempt_ || released_ || !concerned) {
+  const bool participates = mayAcquire || ownsRecord();
+  if (now < nextAttempt_ || released_ || !participates) {
     return {};
   }
-  if (mustRead_ || !observed_) {
+  if (needsRead_ || !observed_) {
     return {LeaseStep::kRead, {}};
   }
   if (ownsRecord()) {
     return renewOrWait(now);
   }
   const bool free = observed_->version.value() == 0 || observed_->record.holder.empty();
-  if (free || lapsed(now)) {
-    const std::uint64_t highest = std::max(observed_->record.token.value(), lowestToken_.value());
+  if (free || hasExpired(now)) {
+    const std::uint64_t highest = std::max(observed_->record.token.value(), tokenFloor_.value());
     return write(FencingToken(highest + 1), now);
   }
   return now < nextRead_ ? LeaseAction{} : LeaseAction{LeaseStep::kRead, {}};
 }
 
 LeaseAction LeaseCore::renewOrWait(MonotonicTime now) {
-  if (observed_->record.token < lowestToken_) {
-    return write(FencingToken(lowestToken_.value() + 1), now);
+  if (observed_->record.token < tokenFloor_) {
+    return write(FencingToken(tokenFloor_.value() + 1), now);
   }
   const auto last = sentAt_.find(renewal_);
   const bool due = last == sentAt_.end() || now >= last->second + settings_.renewInterval;
@@ -47,7 +47,7 @@
 LeaseAction LeaseCore::write(FencingToken token, MonotonicTime now) {
   ++renewal_;
   sentAt_[renewal_] = now;
-  if (sentAt_.size() > kRememberedWrites) {
+  if (sentAt_.size() > kMaxTrackedWrites) {
     sentAt_.erase(sentAt_.begin());
   }
   const LeaseRecord record{settings_.holder, settings_.duration, token, renewal_};
@@ -59,7 +59,7 @@
     observedAt_ = now;
   }
   observed_ = observed;
-  mustRead_ = false;
+  needsRead_ = false;
   nextAttempt_ = now;
   nextRead_ = now + settings_.renewInterval;
   validUntil_.reset();
@@ -79,15 +79,15 @@
 }
 
 void LeaseCore::onWriteFailed(MonotonicTime now) {
-  mustRead_ = true;
+  needsRead_ = true;
   nextAttempt_ = now;
 }
 
 void LeaseCore::onFenced(FencingToken highest) {
-  lowestToken_ = std::max(lowestToken_, highest);
+  tokenFloor_ = std::max(tokenFloor_, highest);
   validUntil_.reset();
   sentAt_.clear();
-  mustRead_ = true;
+  needsRead_ = true;
 }
 
 std::optional<FencingToken> LeaseCore::token(MonotonicTime now) const {
@@ -112,8 +112,8 @@
          observed_->record.holder == settings_.holder;
 }
 
-bool LeaseCore::lapsed(MonotonicTime now) const {
-  // All nodes hold leases for the same time.
+bool LeaseCore::hasExpired(MonotonicTime now) const {
+  // An unreadable record has no duration; all nodes use the same configured one.
   const Milliseconds duration =
       observed_->readable ? observed_->record.duration : settings_.duration;
   return now >= observedAt_ + duration + driftMargin(duration, settings_.clockDrift);
--- a/src/lease/lease_core.h
+++ b/src/lease/lease_core.h
@@ -15,81 +15,82 @@
   std::string holder;
   Milliseconds duration{6000};
   Milliseconds renewInterval{2000};
-  /// Pause after a read or write that failed.
+  /// Delay after a failed read or write.
   Milliseconds retryInterval{500};
-  /// Bound on how far the rate of any node's monotonic clock is off, as a fraction. The exclusion
-  /// of two valid holders rests on it.
+  /// Upper bound on the rate error of any node's monotonic clock, as a fraction. Mutual exclusion
+  /// depends on it.
   double clockDrift = 0.01;
 };
 
-/// What the driver is to do next.
+/// The next step for the driver of a LeaseCore.
 enum class LeaseStep { kWait, kRead, kWrite };
 
 struct LeaseAction {
   LeaseStep step = LeaseStep::kWait;
-  /// For kWrite: the write is conditional on `write.version`.
+  /// kWrite: the lease to write, conditional on `write.version`.
   ObservedLease write;
 };
 
-/// Decides when to read and write the lease, and whether this process holds it. No I/O: the driver
-/// performs one action at a time and reports what came of it; `now` is this node's own monotonic
-/// clock.
+/// Decides when to read and write the lease, and whether this process holds it. Performs no I/O:
+/// the driver executes one action at a time and reports its outcome. `now` is always this node's
+/// own monotonic clock.
 ///
-/// Invariant: at no moment do two processes hold the lease (token() is set in both), as long as
-/// all clocks keep within `clockDrift`. It holds because
-/// - a holder counts its lease from before the renewing write was sent, so from before the store
-///   applied it;
-/// - another candidate writes only after it has seen one stored version unchanged for the whole
-///   duration plus the drift margin on its own clock, so from after the store applied it;
-/// - that write is conditional on the version seen, so it fails if a renewal came in between.
-/// A process that was paused fails the check of token() when it wakes. What it sent before is
-/// refused by the receiver, which has seen a higher token.
+/// Invariant: no two processes hold the lease at the same time (token() is set in at most one), as
+/// long as all clocks stay within `clockDrift`. This holds for three reasons. A holder counts the
+/// lease from before it sent the renewing write, which is before the store applied it. Another
+/// candidate writes only after it has seen one stored version unchanged for the whole duration plus
+/// the drift margin on its own clock, counted from after the store applied that version. That write
+/// is conditional on the version seen, so it fails if a renewal came in between.
+///
+/// A process that was paused fails the check of token() when it resumes. Receivers reject what it
+/// sent before if they have seen a higher token.
 class LeaseCore {
  public:
   explicit LeaseCore(LeaseSettings settings) : settings_(std::move(settings)) {}
 
-  /// The next action. Asked again after each outcome, and after a short wait.
-  /// @param mayAcquire false where this node is no candidate: it then keeps a lease that it holds
-  /// and takes no new one.
+  /// Returns the next action. Called after each outcome and at short intervals.
+  /// @param mayAcquire false if this node is not a candidate: it then renews a lease that it holds
+  /// but acquires none.
   LeaseAction next(MonotonicTime now, bool mayAcquire = true);
   void onRead(const ObservedLease& observed, MonotonicTime now);
   void onReadFailed(MonotonicTime now);
-  /// The write of `written` took effect and got `version`.
+  /// The write of `written` was applied and got `version`.
   void onWritten(const ObservedLease& written, object_api::ResourceVersion version,
                  MonotonicTime now);
-  /// Refused, or its outcome is unknown: the lease is read before anything else is done.
+  /// The write was rejected or its outcome is unknown: the lease is read before any other step.
   void onWriteFailed(MonotonicTime now);
   /// A receiver has seen a higher token: this process stops acting at once. If the store still
-  /// names it as the holder, it goes on under a token above `highest`.
+  /// names it as the holder, it continues with a token above `highest`.
   void onFenced(FencingToken highest);
 
-  /// The fencing token while this process holds the lease. Asked right before each order.
+  /// The fencing token while this process holds the lease. Must be called right before each use.
   std::optional<FencingToken> token(MonotonicTime now) const;
-  /// The write that gives the lease back, at a planned stop; nothing where it isn't held. This
-  /// process never holds the lease again.
+  /// Returns the write that releases the lease at a planned stop; nothing if the lease is not held.
+  /// Afterwards this process never holds the lease again.
   std::optional<ObservedLease> release(MonotonicTime now);
   const std::optional<ObservedLease>& observed() const { return observed_; }
 
  private:
   bool ownsRecord() const;
-  /// Whether the stored holder has let the lease lapse, as seen by this node's clock alone.
-  bool lapsed(MonotonicTime now) const;
+  /// Whether the lease of the stored holder has expired by this node's clock.
+  bool hasExpired(MonotonicTime now) const;
   LeaseAction write(FencingToken token, MonotonicTime now);
   LeaseAction renewOrWait(MonotonicTime now);
 
   LeaseSettings settings_;
   std::optional<ObservedLease> observed_;
-  /// When the observed version was first seen here.
+  /// When this node first saw the observed version.
   MonotonicTime observedAt_{};
-  bool mustRead_ = true;
+  bool needsRead_ = true;
   MonotonicTime nextAttempt_{};
   MonotonicTime nextRead_{};
-  /// Number of this process's last write, and when each recent one was about to be sent.
+  /// Sequence number of this process's last write, and the time just before each recent write was
+  /// sent.
   std::uint64_t renewal_ = 0;
   std::map<std::uint64_t, MonotonicTime> sentAt_;
   std::optional<MonotonicTime> validUntil_;
-  /// The next token this process writes is above it.
-  FencingToken lowestToken_;
+  /// The next token that this process writes is above this one.
+  FencingToken tokenFloor_;
   bool released_ = false;
 };
 
--- a/src/lease/lease_keeper.cc
+++ b/src/lease/lease_keeper.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// How often the core is asked between two renewals.
+/// Number of steps of the core per renewal interval.
 constexpr int kStepsPerRenewal = 10;
 
 }  // namespace
@@ -63,7 +63,8 @@
   stopped_ = true;
   const std::optional<ObservedLease> released = core_.release(monotonicNow());
   if (released) {
-    // An answer lost here costs the successor the wait for the lease's end, nothing else.
+    // If the reply is lost, the successor has to wait for the lease to expire; there is no other
+    // effect.
     co_await write(*released);
   }
 }
--- a/src/lease/lease_keeper.h
+++ b/src/lease/lease_keeper.h
@@ -13,14 +13,14 @@
 /// Drives one lease against a store, in the background on one thread.
 class LeaseKeeper {
  public:
-  /// @param mayAcquire asked before each step: whether this node is a candidate.
+  /// @param mayAcquire called before each step; returns whether this node is a candidate.
   LeaseKeeper(boost::asio::any_io_executor executor, LeaseStore& store, std::string name,
               LeaseSettings settings, std::function<bool()> mayAcquire);
 
   void start();
   std::optional<FencingToken> token() const { return core_.token(monotonicNow()); }
   void onFenced(FencingToken highest) { core_.onFenced(highest); }
-  /// Gives the lease back, so that a successor need not wait for its end. For a planned stop.
+  /// Releases the lease at a planned stop, so that a successor need not wait for it to expire.
   boost::asio::awaitable<void> release();
   const std::optional<ObservedLease>& observed() const { return core_.observed(); }
 
--- a/src/lease/lease_record.cc
+++ b/src/lease/lease_record.cc
@@ -8,17 +8,18 @@
 
 namespace {
 
-/// Leases last seconds; one that can't end in time must not hold the system up.
-constexpr Milliseconds kLongestDuration = std::chrono::minutes(10);
-/// Leaves room for tokens to rise.
-constexpr std::uint64_t kMostToken = std::uint64_t{1} << 62U;
-/// Of a record that can't be read; no node has such a name.
+/// Leases last seconds. A longer one, which would block the fleet, counts as malformed.
+constexpr Milliseconds kMaxDuration = std::chrono::minutes(10);
+/// Leaves room for tokens to increase.
+constexpr std::uint64_t kMaxToken = std::uint64_t{1} << 62U;
+/// Holder of a record that cannot be decoded; no node has such an id.
 constexpr std::string_view kUnknownHolder = "(unreadable)";
 
-Result<void> checkPlausible(const LeaseRecord& record) {
-  const bool lasts = record.duration > Milliseconds(0) && record.duration <= kLongestDuration;
-  if (!lasts || record.token.value() > kMostToken) {
-    return fail(ErrorKind::kProtocolViolation, "the lease holds a number out of range");
+Result<void> checkRanges(const LeaseRecord& record) {
+  const bool lasts = record.duration > Milliseconds(0) && record.duration <= kMaxDuration;
+  if (!lasts || record.token.value() > kMaxToken) {
+    return fail(ErrorKind::kProtocolViolation,
+                "the duration or the token of the lease is out of range");
   }
   return boost::outcome_v2::success();
 }
@@ -45,11 +46,11 @@
     record.duration = Milliseconds(document.at("leaseDurationMs").to_number<std::int64_t>());
     record.token = FencingToken(document.at("leaseTransitions").to_number<std::uint64_t>());
     record.renewal = document.at("renewal").to_number<std::uint64_t>();
-    BOOST_OUTCOME_TRY(checkPlausible(record));
+    BOOST_OUTCOME_TRY(checkRanges(record));
     return record;
   } catch (const std::exception& exception) {
     return fail(ErrorKind::kProtocolViolation,
-                std::string("the lease lacks a field: ") + exception.what());
+                std::string("a field of the lease is missing or malformed: ") + exception.what());
   }
 }
 
--- a/src/lease/lease_record.h
+++ b/src/lease/lease_record.h
@@ -9,39 +9,41 @@
 #include "common/ids.h"
 #include "object_api/object_api.h"
 
-/// Leases over the platform's object API: at most one node at a time may act for the fleet.
+/// Leases in a store with conditional writes: at most one node at a time acts for the fleet.
 namespace calicodrift::lease {
 
-/// A lease as it is stored. Its fields follow the usual lease object (holderIdentity,
-/// leaseDurationMs, leaseTransitions); no time of day is stored, as nobody compares clocks.
+/// A lease as stored. The fields are those of the usual lease object (holderIdentity,
+/// leaseDurationMs, leaseTransitions). No wall-clock time is stored, because nodes do not compare
+/// clocks.
 struct LeaseRecord {
-  /// Unique for each start of a process; empty after the holder gave the lease back.
+  /// Unique for each start of a process; empty after the holder released the lease.
   std::string holder;
-  /// How long each renewal is valid, from before it was sent.
+  /// Validity of each renewal, counted from before it was sent.
   Milliseconds duration{0};
-  /// Rises with each change of holder.
+  /// Fencing token; increases with each change of holder.
   FencingToken token;
-  /// Number of the holder's write, by which it recognises a write whose answer was lost.
+  /// Sequence number of the holder's write, by which it recognizes a write whose reply was lost.
   std::uint64_t renewal = 0;
 
   auto operator<=>(const LeaseRecord&) const = default;
 };
 
 std::string toJson(const LeaseRecord& record);
-/// Fails with kProtocolViolation, also where a number is one that no holder writes.
+/// Fails with kProtocolViolation if the text is not a lease record or a number is outside the range
+/// that holders write.
 Result<LeaseRecord> leaseRecordFromJson(std::string_view text);
 
-/// What the store held at one moment. Version 0: no lease object exists.
+/// State of the stored lease at one moment. Version 0: there is no lease object.
 struct ObservedLease {
   object_api::ResourceVersion version;
   LeaseRecord record;
-  /// False where an object is there whose record can't be read: somebody may hold the lease.
+  /// False if an object exists whose record cannot be decoded; the lease may be held.
   bool readable = true;
 };
 
-/// A lease object whose record can't be read. Its token is its version: a lease's token rises with
-/// some of its writes and the version with all of them, so that no token that was ever given is
-/// above it.
+/// A lease object whose record cannot be decoded. Its version serves as its token: the version
+/// increases with every write and the token with only some of them, so no token that was ever
+/// issued is above it.
 ObservedLease unreadableLease(object_api::ResourceVersion version);
 
 }  // namespace calicodrift::lease
--- a/src/lease/object_api_lease_store.h
+++ b/src/lease/object_api_lease_store.h
@@ -10,10 +10,10 @@
 /// Kind of the lease objects in the object API.
 inline constexpr std::string_view kLeaseKind = "leases";
 
-/// Leases kept in the object API.
+/// Stores leases in the object API.
 class ObjectApiLeaseStore : public LeaseStore {
  public:
-  /// @param stores addresses of the one object API; the next one is used after a failure.
+  /// @param stores addresses of the same object API; the next one is used after a failure.
   ObjectApiLeaseStore(http::Client& client, std::vector<Endpoint> stores);
 
   boost::asio::awaitable<Result<ObservedLease>> read(std::string name) override;
--- a/src/lease/shared_store_lease.cc
+++ b/src/lease/shared_store_lease.cc
@@ -23,7 +23,7 @@
     onUnreadable_(object.value(), record.error());
   }
   if (version.value() == 0) {
-    // Nothing could be written in its place.
+    // An object without a revision cannot be overwritten conditionally.
     co_return record.error();
   }
   co_return unreadableLease(version);
--- a/src/lease/shared_store_lease.h
+++ b/src/lease/shared_store_lease.h
@@ -7,13 +7,13 @@
 
 namespace calicodrift::lease {
 
-/// Leases kept in the store that outlives the nodes.
+/// Stores leases in the shared object store, which outlives the nodes.
 class SharedStoreLease : public LeaseStore {
  public:
-  /// Told of each read of a lease that can't be read.
+  /// Called for each read of a lease that cannot be decoded.
   using UnreadableListener = std::function<void(const store::Object&, const Error&)>;
 
-  /// @param kind of the lease objects; the product's own.
+  /// @param kind kind of the lease objects.
   SharedStoreLease(store::ObjectStore& store, std::string kind,
                    UnreadableListener onUnreadable = nullptr)
       : store_(store), kind_(std::move(kind)), onUnreadable_(std::move(onUnreadable)) {}
--- a/tests/lease/candidates_test.cc
+++ b/tests/lease/candidates_test.cc
@@ -7,7 +7,7 @@
 namespace calicodrift::lease {
 namespace {
 
-/// A fixed list of nodes, seen from one of them.
+/// A fixed list of nodes as seen from one of them.
 class FixedDirectory : public peer::PeerDirectory {
  public:
   FixedDirectory(std::vector<peer::PeerInfo> nodes, std::size_t self) : nodes_(std::move(nodes)) {
@@ -41,7 +41,7 @@
   return found;
 }
 
-BOOST_AUTO_TEST_CASE(aFewNodesAreCandidatesAndADeadOneIsReplaced) {
+BOOST_AUTO_TEST_CASE(fewNodesAreCandidatesAndADeadOneIsReplaced) {
   std::vector<peer::PeerInfo> nodes = nodesNamed(200);
   const std::vector<std::size_t> before = candidatesOf(nodes);
   BOOST_REQUIRE(before.size() == 3U);
--- a/tests/lease/lease_core_test.cc
+++ b/tests/lease/lease_core_test.cc
@@ -14,7 +14,7 @@
 constexpr double kDrift = 0.05;
 constexpr Milliseconds kOperationTimeout{400};
 
-/// A store in virtual time: each operation takes effect at one moment, its answer may be lost.
+/// A store in virtual time. Each operation is applied at one moment; its reply may be lost.
 struct Store {
   ObservedLease current;
   std::uint64_t lastVersion = 0;
@@ -30,7 +30,7 @@
   }
 };
 
-/// A candidate whose clock runs at its own rate, which sleeps through pauses.
+/// A candidate whose clock runs at its own rate and which does nothing during pauses.
 class Candidate {
  public:
   Candidate(testing::SimulatedNetwork& time, Store& store, const std::string& name, double rate)
@@ -65,12 +65,12 @@
   void begin(const LeaseAction& action) {
     busy_ = true;
     const std::uint64_t operation = ++operation_;
-    time_.schedule(delay(), [this, action, operation] { reach(action, operation); });
-    time_.schedule(kOperationTimeout, [this, action, operation] { giveUp(action, operation); });
+    time_.schedule(delay(), [this, action, operation] { apply(action, operation); });
+    time_.schedule(kOperationTimeout, [this, action, operation] { timeOut(action, operation); });
   }
 
-  /// The operation takes effect at the store, perhaps after its sender gave it up.
-  void reach(const LeaseAction& action, std::uint64_t operation) {
+  /// The store applies the operation, possibly after the sender's timeout.
+  void apply(const LeaseAction& action, std::uint64_t operation) {
     const bool wrote = action.step == LeaseStep::kWrite && store_.put(action.write);
     const ObservedLease seen = store_.current;
     if (chance(0.1)) {
@@ -98,10 +98,10 @@
     }
   }
 
-  void giveUp(const LeaseAction& action, std::uint64_t operation) {
+  void timeOut(const LeaseAction& action, std::uint64_t operation) {
     if (operation != operation_ || !busy_ || time_.now() < pausedUntil_) {
       if (operation == operation_ && busy_) {
-        time_.schedule(Milliseconds(7), [=, this] { giveUp(action, operation); });
+        time_.schedule(Milliseconds(7), [=, this] { timeOut(action, operation); });
       }
       return;
     }
@@ -137,7 +137,7 @@
   bool tokensRise = true;
 };
 
-/// Half a virtual minute of four candidates under random delays, pauses and lost answers.
+/// Runs four candidates for 30 s of virtual time under random delays, pauses and lost replies.
 Outcome runSchedule(std::uint64_t seed) {
   constexpr int kCandidates = 4;
   constexpr int kSamples = 30'000;
@@ -145,7 +145,7 @@
   Store store;
   std::vector<std::unique_ptr<Candidate>> candidates;
   for (int index = 0; index < kCandidates; ++index) {
-    // Both extremes of the stated bound take part in every schedule.
+    // Every schedule includes clocks at both extremes of the drift bound.
     const double rate = index % 2 == 0 ? 1 - kDrift : 1 + kDrift;
     candidates.push_back(
         std::make_unique<Candidate>(time, store, "n" + std::to_string(index), rate));
@@ -180,7 +180,7 @@
   return outcome;
 }
 
-BOOST_AUTO_TEST_CASE(neverTwoHoldersUnderDelaysPausesLostAnswersAndDrift) {
+BOOST_AUTO_TEST_CASE(neverTwoHoldersUnderDelaysPausesLostRepliesAndDrift) {
   constexpr std::uint64_t kSchedules = 60;
   Outcome total;
   for (std::uint64_t seed = 1; seed <= kSchedules; ++seed) {
@@ -194,12 +194,12 @@
                                   << ", held by two ms " << total.doubleHeldSamples);
   BOOST_TEST(total.doubleHeldSamples == 0U);
   BOOST_TEST(total.tokensRise);
-  // A run without changes of holder, or without a holder at all, would prove nothing.
+  // A run without a change of holder, or without any holder, would prove nothing.
   BOOST_TEST(total.takeovers > kSchedules);
   BOOST_TEST(total.heldSamples > kSchedules * 10'000);
 }
 
-struct OneHolder {
+struct SingleCandidateFixture {
   MonotonicTime now{};
   LeaseCore core{LeaseSettings{"a#1", Milliseconds(1000), Milliseconds(300), Milliseconds(50)}};
 
@@ -212,14 +212,14 @@
   }
 };
 
-BOOST_FIXTURE_TEST_CASE(theLeaseCountsFromBeforeTheWriteWasSent, OneHolder) {
+BOOST_FIXTURE_TEST_CASE(leaseCountsFromBeforeTheWriteWasSent, SingleCandidateFixture) {
   const LeaseAction action = acquire();
   core.onWritten(action.write, object_api::ResourceVersion(1), now + Milliseconds(900));
   BOOST_TEST(core.token(now + Milliseconds(999)).has_value());
   BOOST_TEST(!core.token(now + Milliseconds(1000)).has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(aLostAnswerIsSettledByReadingBack, OneHolder) {
+BOOST_FIXTURE_TEST_CASE(lostReplyIsResolvedByReadingBack, SingleCandidateFixture) {
   const LeaseAction action = acquire();
   core.onWriteFailed(now + Milliseconds(100));
   BOOST_TEST(!core.token(now + Milliseconds(100)).has_value());
@@ -229,7 +229,7 @@
   BOOST_TEST(!core.token(now + Milliseconds(1000)).has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(aFencedHolderStopsAndGoesOnOnlyUnderAHigherToken, OneHolder) {
+BOOST_FIXTURE_TEST_CASE(fencedHolderStopsAndContinuesOnlyWithAHigherToken, SingleCandidateFixture) {
   const LeaseAction action = acquire();
   core.onWritten(action.write, object_api::ResourceVersion(1), now);
   core.onFenced(FencingToken(9));
@@ -242,7 +242,8 @@
   BOOST_TEST(raised.write.record.token.value() == 10U);
 }
 
-BOOST_FIXTURE_TEST_CASE(aReleasedLeaseIsFreeAtOnceAndNeverHeldAgainByItsGiver, OneHolder) {
+BOOST_FIXTURE_TEST_CASE(releasedLeaseIsFreeAtOnceAndNeverHeldAgainByItsReleaser,
+                        SingleCandidateFixture) {
   const LeaseAction action = acquire();
   core.onWritten(action.write, object_api::ResourceVersion(1), now);
   const std::optional<ObservedLease> released = core.release(now);
@@ -255,7 +256,7 @@
   BOOST_TEST(taken.write.record.token.value() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(aNodeThatIsNoCandidateNeverTouchesTheStore) {
+BOOST_AUTO_TEST_CASE(nonCandidateNeverAccessesTheStore) {
   LeaseCore core(LeaseSettings{"c#1"});
   BOOST_TEST((core.next(MonotonicTime{}, false).step == LeaseStep::kWait));
 }
