--- a/src/store/kind_watcher.cc
+++ b/src/store/kind_watcher.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A watch as short as this is asked only for the proof that it brings.
+/// Wait of a watch that is sent only for its proof.
 constexpr Milliseconds kProofWait{20};
 
 bool isUnreadable(const Error& error) {
@@ -36,7 +36,7 @@
 }
 
 void KindWatcher::retryNow() {
-  provesSoon_ = true;
+  proofRequested_ = true;
   if (failures_ > 0) {
     failures_ = 0;
     timer_.cancel();
@@ -46,16 +46,16 @@
 awaitable<void> KindWatcher::run() {
   for (;;) {
     Result<void> done = boost::outcome_v2::success();
-    if (mustList_) {
+    if (needsListing_) {
       done = co_await list();
     } else {
       done = co_await watch();
     }
-    noteReachable(static_cast<bool>(done), done ? "" : done.error().detail);
+    reportReachability(static_cast<bool>(done), done ? "" : done.error().detail);
     if (done) {
       failures_ = 0;
     } else {
-      pause_ = pauseAfterFailure(done.error());
+      pause_ = backoffAfterFailure(done.error());
     }
     if (pause_ > Milliseconds(0)) {
       timer_.expires_after(std::exchange(pause_, Milliseconds(0)));
@@ -71,10 +71,10 @@
     co_return listing.error();
   }
   if (listing.value().revision < revision_) {
-    co_return fail(ErrorKind::kStoreUnavailable, "a listing older than the known state");
+    co_return fail(ErrorKind::kStoreUnavailable, "the listing is older than the known state");
   }
   revision_ = listing.value().revision;
-  mustList_ = false;
+  needsListing_ = false;
   synchronized_ = true;
   provenBefore_ = provenAt_;
   provenAt_ = std::max(provenAt_, asked + listing.value().provenAfterAsked);
@@ -87,13 +87,13 @@
   const Milliseconds wait = nextWait(asked);
   Result<ChangeBatch> batch = co_await store_.watch(settings_.kind, revision_, wait);
   if (!batch) {
-    // The store has forgotten the history, or its changes can't be read, and never will be: what
-    // was missed shows in a listing only.
-    mustList_ = mustList_ || batch.error().kind == ErrorKind::kVersionConflict ||
-                isUnreadable(batch.error());
+    // The history is gone, or the changes cannot be decoded and never will be: only a listing shows
+    // what was missed.
+    needsListing_ = needsListing_ || batch.error().kind == ErrorKind::kVersionConflict ||
+                    isUnreadable(batch.error());
     co_return batch.error();
   }
-  provesSoon_ = false;
+  proofRequested_ = false;
   revision_ = std::max(revision_, batch.value().revision);
   provenBefore_ = provenAt_;
   provenAt_ = std::max(provenAt_, store::provenAt(batch.value(), asked, wait, monotonicNow()));
@@ -105,17 +105,18 @@
 }
 
 Milliseconds KindWatcher::nextWait(MonotonicTime now) const {
-  if (provesSoon_) {
+  if (proofRequested_) {
     return std::min(kProofWait, settings_.wait);
   }
   const auto left = std::chrono::duration_cast<Milliseconds>(provenAt_ + settings_.proofAge - now);
   return std::clamp(left, std::min(settings_.shortestWait, settings_.wait), settings_.wait);
 }
 
-Milliseconds KindWatcher::pauseAfterFailure(const Error& error) {
-  constexpr unsigned kMostDoublings = 6;
-  const Milliseconds longest = std::min(
-      settings_.firstPause * (1U << std::min(failures_, kMostDoublings)), settings_.longestPause);
+Milliseconds KindWatcher::backoffAfterFailure(const Error& error) {
+  constexpr unsigned kMaxBackoffDoublings = 6;
+  const Milliseconds longest =
+      std::min(settings_.firstPause * (1U << std::min(failures_, kMaxBackoffDoublings)),
+               settings_.longestPause);
   ++failures_;
   if (isUnreadable(error) && failures_ > 1) {
     return settings_.unreadablePause;
@@ -124,7 +125,7 @@
   return Milliseconds(any(random_));
 }
 
-void KindWatcher::noteReachable(bool reachable, const std::string& cause) {
+void KindWatcher::reportReachability(bool reachable, const std::string& cause) {
   if (reachable != reachable_) {
     reachable_ = reachable;
     if (listener_.onReachable) {
--- a/src/store/kind_watcher.h
+++ b/src/store/kind_watcher.h
@@ -12,55 +12,55 @@
 
 struct KindWatcherSettings {
   std::string kind;
-  /// Longest time that one watch waits. Each one that returns proves how new the view is.
+  /// Longest wait of a watch. Each watch that returns proves how recent the view is.
   Milliseconds wait{1500};
-  /// A watch is made shorter where the proof would otherwise grow older than this.
+  /// Target for the age of the proof: a watch waits less if its proof would otherwise become older
+  /// than this.
   Milliseconds proofAge{2400};
   Milliseconds shortestWait{200};
-  /// Before the next watch after one that returned changes, so that those that come close together
-  /// cost one call.
+  /// Delay before the next watch after one that returned changes, so that changes in quick
+  /// succession cost one call.
   Milliseconds changePause{0};
-  /// First pause after a failed call; doubles up to the longest, with jitter.
+  /// Bounds of the exponential backoff, with jitter, after a failed call.
   Milliseconds firstPause{50};
   Milliseconds longestPause{400};
-  /// Pause after an answer that can't be read: the next one has little hope before the store's
-  /// content changes, and each listing costs its whole size.
+  /// Delay after repeated answers that cannot be decoded. A retry is unlikely to succeed before the
+  /// content of the store changes, and each listing costs its whole size.
   Milliseconds unreadablePause{2000};
   std::uint64_t seed = 0;
 };
 
-/// What a watcher tells its owner.
+/// Callbacks of a KindWatcher.
 struct KindListener {
-  /// Replaces all that was known of the kind.
+  /// Replaces everything known of the kind.
   std::function<void(const Listing&)> onListing;
   std::function<void(const ChangeBatch&)> onChanges;
-  /// The store was lost or regained; for logs.
+  /// Called when the store is lost or regained; for logging.
   std::function<void(bool reachable, const std::string& cause)> onReachable;
 };
 
-/// Keeps a view of one kind up to date: one listing, then watches, and another listing where the
-/// store has forgotten what came between. Runs on one thread.
+/// Keeps a view of one kind up to date: a listing, then watches, and another listing if the store
+/// no longer has the history in between. Runs on one thread.
 ///
-/// Invariant: the view never goes back, as a listing at an older revision than the known one is
-/// refused.
+/// Invariant: the view never goes back, because a listing older than the known revision is
+/// rejected.
 class KindWatcher {
  public:
   KindWatcher(boost::asio::any_io_executor executor, ObjectStore& store,
               KindWatcherSettings settings, KindListener listener);
 
   void start();
-  /// The store is reached by another way from now on: a pause after a failed call ends, and the
-  /// next watch is short, as others may judge this node by the age of its view.
+  /// Called when the store is reached through another source: ends a backoff after a failed call
+  /// and makes the next watch short, as other nodes may judge this node by the age of its view.
   void retryNow();
-  /// Longest wait, and age of the proof, of the watches that begin from now on.
+  /// Sets the longest wait and the target age of the proof for watches that start from now on.
   void setWait(Milliseconds wait) {
     settings_.wait = wait;
     settings_.proofAge = wait;
   }
-  /// The view was the newest state at this time for certain; nothing was ever read where this is
-  /// the epoch of the clock.
+  /// Latest time at which the view was known to be current; the clock's epoch if nothing was read.
   MonotonicTime provenAt() const { return provenAt_; }
-  /// The same before the newest listing or changes were read, which came after it.
+  /// The value of provenAt() before the newest listing or changes, which arrived after it.
   MonotonicTime provenBefore() const { return provenBefore_; }
   bool synchronized() const { return synchronized_; }
   Revision revision() const { return revision_; }
@@ -70,8 +70,8 @@
   boost::asio::awaitable<Result<void>> list();
   boost::asio::awaitable<Result<void>> watch();
   Milliseconds nextWait(MonotonicTime now) const;
-  Milliseconds pauseAfterFailure(const Error& error);
-  void noteReachable(bool reachable, const std::string& cause);
+  Milliseconds backoffAfterFailure(const Error& error);
+  void reportReachability(bool reachable, const std::string& cause);
 
   boost::asio::any_io_executor executor_;
   boost::asio::steady_timer timer_;
@@ -81,12 +81,12 @@
   std::mt19937_64 random_;
   Revision revision_;
   bool synchronized_ = false;
-  bool mustList_ = true;
+  bool needsListing_ = true;
   bool reachable_ = true;
   unsigned failures_ = 0;
   Milliseconds pause_{0};
-  /// The next watch is for the proof that it brings.
-  bool provesSoon_ = false;
+  /// The next watch is short, as it is only needed for its proof.
+  bool proofRequested_ = false;
   MonotonicTime provenAt_{};
   MonotonicTime provenBefore_{};
 };
--- a/src/store/object_store.h
+++ b/src/store/object_store.h
@@ -11,21 +11,21 @@
 #include "common/error.h"
 #include "common/strong_type.h"
 
-/// The store that outlives every node: objects by kind and name, with one counter of revisions.
-/// An interface, as each platform has a store of its own.
+/// The store that outlives every node: objects by kind and name, with one revision counter. An
+/// interface, because each platform has its own store.
 namespace calicodrift::store {
 
-/// Position in the store's history; each change gets a higher one.
+/// Position in the history of the store; each change gets a higher one.
 using Revision = StrongType<struct RevisionTag, std::uint64_t>;
 
 struct Object {
   std::string name;
-  /// Revision of its last change; 0 for an object that does not exist yet.
+  /// Revision of the last change; 0 for an object that does not exist yet.
   Revision revision;
-  /// Marked for removal, but still there.
+  /// Marked for deletion but still present.
   bool deleting = false;
   boost::json::value spec;
-  /// What the system reports of an object that the operator owns; null where nothing was written.
+  /// Status that the system reports for an object owned by the operator; null if none was written.
   boost::json::value status;
 };
 
@@ -33,8 +33,8 @@
 struct Listing {
   std::vector<Object> objects;
   Revision revision;
-  /// It was the newest state so long after it was asked for; below 0 where another node read it
-  /// from the store before.
+  /// When the listing was known to be current, relative to the time of the request. Negative if
+  /// another node read it from the store before that.
   Milliseconds provenAfterAsked{0};
 };
 
@@ -43,39 +43,40 @@
   bool removed = false;
 };
 
-/// Changes of a kind after the revision asked for, and the revision they lead to.
+/// Changes of a kind after the requested revision, and the revision to which they lead.
 struct ChangeBatch {
   std::vector<Change> changes;
   Revision revision;
-  /// As of a listing, where the source knows it better than provenAt() does.
+  /// As in Listing; set if the source knows it more precisely than provenAt().
   std::optional<Milliseconds> provenAfterAsked;
 };
 
-/// When the state that `batch` leads to was the newest for certain. A watch that returned nothing
-/// proves the end of its wait, as the store would have returned earlier otherwise; one that
-/// returned changes proves only the moment at which it was asked for, as its answer may have been
-/// under way for long.
+/// Latest time at which the state reached by `batch` was known to be current. A watch without
+/// changes proves the end of its wait, since the store would otherwise have returned earlier. A
+/// watch with changes proves only the time of the request, since its reply may have been in transit
+/// for long. Never later than `now`.
 MonotonicTime provenAt(const ChangeBatch& batch, MonotonicTime asked, Milliseconds wait,
                        MonotonicTime now);
 
 /// Errors of all calls: kStoreUnavailable (nothing was done), kOutcomeUnknown (a write may have
-/// been done, or may be done later) and kProtocolViolation; others are named at the call.
+/// been applied or may be applied later) and kProtocolViolation. Further errors are listed at each
+/// call.
 class ObjectStore {
  public:
   virtual ~ObjectStore() = default;
-  /// The newest state, over all pages.
+  /// Returns the newest state, across all pages.
   virtual boost::asio::awaitable<Result<Listing>> list(std::string kind) = 0;
-  /// Returns as soon as there is a change after `since`, or without one after `wait`.
-  /// Fails with kVersionConflict where the store has forgotten the history after `since`.
+  /// Returns as soon as there is a change after `since`, or without changes after `wait`. Fails
+  /// with kVersionConflict if the store no longer has the history after `since`.
   virtual boost::asio::awaitable<Result<ChangeBatch>> watch(std::string kind, Revision since,
                                                             Milliseconds wait) = 0;
   /// Fails with kNotFound.
   virtual boost::asio::awaitable<Result<Object>> get(std::string kind, std::string name) = 0;
-  /// Writes `object.spec` if the stored revision is still `object.revision` (0: creates it), and
-  /// gives the new revision. Fails with kVersionConflict.
+  /// Writes `object.spec` if the stored revision is still `object.revision` (0: creates the
+  /// object), and returns the new revision. Fails with kVersionConflict.
   virtual boost::asio::awaitable<Result<Revision>> put(std::string kind, Object object) = 0;
-  /// Writes `object.status` if the stored revision is still `object.revision`, and gives the new
-  /// revision. Fails with kVersionConflict, or kNotFound where the object is gone.
+  /// Writes `object.status` if the stored revision is still `object.revision`, and returns the new
+  /// revision. Fails with kVersionConflict, or with kNotFound if the object no longer exists.
   virtual boost::asio::awaitable<Result<Revision>> putStatus(std::string kind, Object object) = 0;
 };
 
--- a/src/store/unreadable.h
+++ b/src/store/unreadable.h
@@ -5,27 +5,28 @@
 
 #include "common/error.h"
 
-/// Why an object of the store can't be read: it may have been written by another program, so that
-/// nothing about its content is sure. The names are the labels of a counter: a closed list.
+/// Reasons why an object of the store cannot be decoded. Objects may be written by other programs,
+/// so nothing can be assumed about their content. The reasons are label values of a counter and
+/// form a closed list.
 namespace calicodrift::store {
 
-/// The spec is no JSON object, or its bytes, or those of the metadata, are no JSON.
+/// The spec is not a JSON object, or the bytes of the spec or the metadata are not JSON.
 inline constexpr std::string_view kNoObject = "no_object";
 inline constexpr std::string_view kFieldMissing = "field_missing";
-/// A field is of another JSON type than it should be.
+/// A field has the wrong JSON type.
 inline constexpr std::string_view kFieldType = "field_type";
-/// A number out of its range or with a fraction, an empty text, an address that is none.
+/// A number out of range or with a fraction, an empty string, or an invalid address.
 inline constexpr std::string_view kFieldRange = "field_range";
-/// A word that is none of those which a field may hold.
+/// A value that is not one of those allowed for the field.
 inline constexpr std::string_view kUnknownValue = "unknown_value";
-/// A server's service is none of the configuration's.
+/// The service of a server is not in the configuration.
 inline constexpr std::string_view kUnknownService = "unknown_service";
-/// Any other: the detail tells.
+/// Any other reason; the detail states it.
 inline constexpr std::string_view kMalformed = "malformed";
-/// Not an object, but a whole answer of the store that can't be taken apart.
+/// Not an object but a whole answer of the store that cannot be decoded.
 inline constexpr std::string_view kUnreadableAnswer = "unreadable_answer";
 
-/// @param reason one of those above.
+/// @param reason one of the constants above.
 inline Error unreadable(std::string_view reason, std::string detail) {
   Error error = fail(ErrorKind::kProtocolViolation, std::move(detail));
   error.reason = reason;
--- a/tests/store/kind_watcher_test.cc
+++ b/tests/store/kind_watcher_test.cc
@@ -12,7 +12,7 @@
 namespace asio = boost::asio;
 using asio::awaitable;
 
-/// Gives scripted answers in turn, then waits for ever.
+/// Returns scripted answers in order, then waits forever.
 class ScriptedStore : public ObjectStore {
  public:
   explicit ScriptedStore(asio::io_context& context) : context_(context) {}
@@ -104,33 +104,33 @@
   BOOST_TEST((store.sinces == std::vector{Revision(10), Revision(12), Revision(15)}));
 }
 
-BOOST_AUTO_TEST_CASE(quietWatchProvesTheEndOfItsWait) {
+BOOST_AUTO_TEST_CASE(watchWithoutChangesProvesTheEndOfItsWait) {
   store.answers = {batchAt(10, 0)};
   const MonotonicTime begin = monotonicNow();
   const auto watcher = run(Milliseconds(150));
   BOOST_TEST((watcher->provenAt() >= begin + settings.wait));
 }
 
-BOOST_AUTO_TEST_CASE(watchWithChangesProvesOnlyWhenItWasAsked) {
+BOOST_AUTO_TEST_CASE(watchWithChangesProvesOnlyTheTimeOfItsRequest) {
   store.delay = Milliseconds(50);
   store.answers = {batchAt(11, 1)};
   const MonotonicTime begin = monotonicNow();
   const auto watcher = run(Milliseconds(150));
   BOOST_TEST(changes == 1U);
   BOOST_TEST((watcher->provenAt() < begin + Milliseconds(40)));
-  // The next watch is shorter, so that the proof does not grow too old.
+  // The next watch is shorter, so that the proof does not become too old.
   BOOST_REQUIRE(store.waits.size() == 2U);
   BOOST_TEST((store.waits[1] < settings.wait));
 }
 
-BOOST_AUTO_TEST_CASE(forgottenHistoryLeadsToAnotherListing) {
+BOOST_AUTO_TEST_CASE(lostHistoryLeadsToAnotherListing) {
   store.answers = {fail(ErrorKind::kVersionConflict, "gone"), batchAt(25, 1)};
   const auto watcher = run(Milliseconds(200));
   BOOST_TEST(listings == 2U);
   BOOST_TEST(changes == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(changesThatCantBeReadLeadToAListingAndNotToTheSameWatchAgain) {
+BOOST_AUTO_TEST_CASE(unreadableChangesLeadToAListingInsteadOfTheSameWatch) {
   store.answers = {unreadable(kUnreadableAnswer, "no JSON"), batchAt(25, 1)};
   const auto watcher = run(Milliseconds(200));
   BOOST_TEST(listings == 2U);
@@ -138,7 +138,7 @@
   BOOST_TEST((store.sinces[1] == Revision(20)));
 }
 
-BOOST_AUTO_TEST_CASE(answersThatCantBeReadTimeAfterTimeAreAskedForSeldom) {
+BOOST_AUTO_TEST_CASE(repeatedUnreadableAnswersSlowTheRequests) {
   settings.unreadablePause = Milliseconds(100);
   store.answers.assign(50, unreadable(kUnreadableAnswer, "no JSON"));
   store.unreadableLists = true;
@@ -148,16 +148,17 @@
   BOOST_TEST(store.lists >= 3U);
 }
 
-BOOST_AUTO_TEST_CASE(olderListingThanTheKnownStateIsRefused) {
+BOOST_AUTO_TEST_CASE(listingOlderThanTheKnownStateIsRejected) {
   store.answers = {batchAt(40, 1), fail(ErrorKind::kVersionConflict, "gone"), batchAt(50, 1)};
   const auto watcher = run(Milliseconds(300));
-  // Listings are at 10, 20, 30 and so on: only from 40 on they tell no older state.
+  // Listings are at revisions 10, 20, 30 and so on; only the one at 40 is not older than the known
+  // state.
   BOOST_TEST(store.lists == 4U);
   BOOST_TEST(listings == 2U);
   BOOST_TEST((watcher->revision() >= Revision(40)));
 }
 
-BOOST_AUTO_TEST_CASE(pausesAfterChangesSoThatOthersComeAlong) {
+BOOST_AUTO_TEST_CASE(pausesAfterChangesToBatchThem) {
   settings.changePause = Milliseconds(80);
   store.delay = Milliseconds(0);
   store.answers = {batchAt(11, 1)};
@@ -167,7 +168,7 @@
   BOOST_TEST(store.waits.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(sourceMayTellTheAgeOfItsAnswer) {
+BOOST_AUTO_TEST_CASE(sourceMayStateTheAgeOfItsAnswer) {
   ChangeBatch batch = batchAt(11, 1);
   batch.provenAfterAsked = Milliseconds(-30);
   store.answers = {batch};
@@ -178,8 +179,8 @@
   BOOST_TEST((provenAt(batch, asked, settings.wait, asked) == asked - Milliseconds(30)));
 }
 
-BOOST_AUTO_TEST_CASE(firstWatchByAnotherWayIsShort) {
-  store.answers.push_back(fail(ErrorKind::kStoreUnavailable, "the relay was left"));
+BOOST_AUTO_TEST_CASE(firstWatchFromAnotherSourceIsShort) {
+  store.answers.push_back(fail(ErrorKind::kStoreUnavailable, "the source changed"));
   store.answers.push_back(ChangeBatch{{}, Revision(10), {}});
   const std::unique_ptr<KindWatcher> watcher = run(Milliseconds(1));
   watcher->retryNow();
@@ -187,11 +188,11 @@
   context.run_for(Milliseconds(60));
   BOOST_REQUIRE(store.waits.size() == 3U);
   BOOST_TEST(store.waits[1] == Milliseconds(20));
-  // Proven, so that the next one waits as long as ever.
+  // The view is proven, so the next watch waits as long as usual.
   BOOST_TEST(store.waits[2] > Milliseconds(20));
 }
 
-BOOST_AUTO_TEST_CASE(lostStoreIsToldOnceAndItsReturnToo) {
+BOOST_AUTO_TEST_CASE(lossAndReturnOfTheStoreAreReportedOnce) {
   store.answers = {fail(ErrorKind::kStoreUnavailable, "down"),
                    fail(ErrorKind::kStoreUnavailable, "down"), batchAt(11, 1)};
   const auto watcher = run(Milliseconds(300));
