--- a/src/weights/load_rounds.cc
+++ b/src/weights/load_rounds.cc
@@ -5,8 +5,8 @@
 namespace calicodrift::weights {
 namespace {
 
-/// Whether the engine has older weights of the model and would take an order.
-bool needs(const orders::SurveyedEngine& engine, const orders::RolloutGoal::Model& model) {
+/// Whether the engine has older weights of the model and accepts orders.
+bool needsLoad(const orders::SurveyedEngine& engine, const orders::RolloutGoal::Model& model) {
   return engine.model == model.id && !engine.leaving && engine.report && engine.report->accepting &&
          engine.report->weights < model.weights;
 }
@@ -19,30 +19,31 @@
   orderCounts_.clear();
 }
 
-void LoadRounds::update(const std::vector<DueServer>& due, std::size_t room, MonotonicTime now) {
-  room_ = room;
-  for (const BackendId& server : unresolved_.takeExpired(now)) {
+void LoadRounds::update(const std::vector<DueServer>& due, std::size_t maxLoads,
+                        MonotonicTime now) {
+  maxLoads_ = maxLoads;
+  for (const BackendId& server : unresolved_.releaseExpired(now)) {
     schedule_.onGone(server);
   }
   std::vector<DueServer> next;
   for (DueServer server : due) {
-    // Nobody is told of a load that comes at an unknown time.
-    server.idle = server.idle || (server.settled && !unresolved_.loadsForeseeable());
+    // A load whose start can't be predicted isn't announced, so the server needs no lead.
+    server.idle = server.idle || (server.settled && !unresolved_.loadsPredictable());
     if (unresolved_.mayOrder(server.id, server.idle ? now : now + lead_)) {
       next.push_back(server);
     }
   }
-  // Those without an order first, then those whose order was sent the longest ago.
-  std::stable_sort(next.begin(), next.end(), [this](const DueServer& one, const DueServer& two) {
-    return unresolved_.sentAt(one.id) < unresolved_.sentAt(two.id);
+  // Servers without an order come first, then those with the oldest order.
+  std::stable_sort(next.begin(), next.end(), [this](const DueServer& left, const DueServer& right) {
+    return unresolved_.sentAt(left.id) < unresolved_.sentAt(right.id);
   });
-  // No more are next than one round may order.
-  const std::size_t unforeseeable =
-      unresolved_.loadsForeseeable() ? 0 : unresolved_.holdingPlaces().size();
-  schedule_.update(next, unforeseeable + room, now);
+  // No more servers are announced than one round may order.
+  const std::size_t unpredictable =
+      unresolved_.loadsPredictable() ? 0 : unresolved_.slotHolders().size();
+  schedule_.update(next, unpredictable + maxLoads, now);
 }
 
-std::vector<BackendId> LoadRounds::toAsk(MonotonicTime now) const {
+std::vector<BackendId> LoadRounds::serversToPoll(MonotonicTime now) const {
   std::vector<BackendId> servers;
   for (const BackendId& id : schedule_.reserved()) {
     if (schedule_.isOrdered(id) || schedule_.mayOrder(id, now)) {
@@ -50,10 +51,10 @@
     }
   }
   std::stable_sort(servers.begin(), servers.end(),
-                   [this](const BackendId& one, const BackendId& two) {
-                     return unresolved_.sentAt(one) < unresolved_.sentAt(two);
+                   [this](const BackendId& left, const BackendId& right) {
+                     return unresolved_.sentAt(left) < unresolved_.sentAt(right);
                    });
-  for (const BackendId& id : unresolved_.toAsk(room_, now)) {
+  for (const BackendId& id : unresolved_.serversToPoll(maxLoads_, now)) {
     if (std::find(servers.begin(), servers.end(), id) == servers.end()) {
       servers.push_back(id);
     }
@@ -63,15 +64,15 @@
 
 void LoadRounds::onReport(const BackendId& server, const LoadReport& report, MonotonicTime now) {
   orderCounts_[server] = report.orderCount;
-  if (!report.behind) {
+  if (!report.outdated) {
     onLoaded(server, now);
     return;
   }
-  if (unresolved_.onReport(server, report) == ReportedEffect::kNone) {
+  if (unresolved_.onReport(server, report) == ReportedEffect::kNotAccepted) {
     schedule_.onGone(server);
   }
   if (report.busy && !schedule_.isOrdered(server)) {
-    schedule_.onSeenLoading(server, now);
+    schedule_.onLoadObserved(server, now);
   }
 }
 
@@ -81,25 +82,25 @@
 }
 
 std::set<BackendId> LoadRounds::reserved() const {
-  if (unresolved_.loadsForeseeable()) {
+  if (unresolved_.loadsPredictable()) {
     return schedule_.reserved();
   }
   const std::vector<BackendId> ordered = schedule_.ordered();
   std::set<BackendId> loading(ordered.begin(), ordered.end());
   std::erase_if(loading, [this](const BackendId& id) {
-    const double likelihood = unresolved_.loadLikelihood(id);
-    return likelihood > 0 && likelihood < 1;
+    const double probability = unresolved_.loadProbability(id);
+    return probability > 0 && probability < 1;
   });
   return loading;
 }
 
-std::set<BackendId> LoadRounds::seenLoading(const std::vector<orders::SurveyedEngine>& engines,
-                                            MonotonicTime now) {
+std::set<BackendId> LoadRounds::findLoadingServers(
+    const std::vector<orders::SurveyedEngine>& engines, MonotonicTime now) {
   std::set<BackendId> loading;
   for (const orders::SurveyedEngine& engine : engines) {
-    // One that was found gone meanwhile holds no place.
+    // A server that was removed in the meantime holds no slot.
     if (!engine.report && schedule_.isReserved(engine.id)) {
-      unresolved_.onSilent(engine.id, now);
+      unresolved_.onNoResponse(engine.id, now);
     }
     if (engine.report && engine.report->loading) {
       loading.insert(engine.id);
@@ -111,24 +112,24 @@
 std::vector<orders::LoadOrder> LoadRounds::plan(const orders::RolloutGoal& goal,
                                                 const std::vector<orders::SurveyedEngine>& engines,
                                                 MonotonicTime now) {
-  const std::set<BackendId> loading = seenLoading(engines, now);
-  auto likelyLoads = static_cast<double>(loading.size());
-  for (const BackendId& id : unresolved_.holdingPlaces()) {
-    likelyLoads += loading.contains(id) ? 0 : unresolved_.loadLikelihood(id);
+  const std::set<BackendId> loading = findLoadingServers(engines, now);
+  auto expectedLoads = static_cast<double>(loading.size());
+  for (const BackendId& id : unresolved_.slotHolders()) {
+    expectedLoads += loading.contains(id) ? 0 : unresolved_.loadProbability(id);
   }
-  const auto room = static_cast<std::size_t>(goal.maxConcurrentLoads);
-  // What is sent in one round may all be taken.
-  std::size_t budget = room - std::min(room, loading.size());
+  const auto maxLoads = static_cast<std::size_t>(goal.maxConcurrentLoads);
+  // All orders of one round may be accepted, so the budget counts each one in full.
+  std::size_t budget = maxLoads - std::min(maxLoads, loading.size());
   std::vector<orders::LoadOrder> orders;
   for (const orders::RolloutGoal::Model& model : goal.models) {
     for (const orders::SurveyedEngine& engine : engines) {
-      const double others = likelyLoads - unresolved_.loadLikelihood(engine.id);
-      const bool hasPlace = budget > 0 && others + 1 <= static_cast<double>(room);
-      if (!hasPlace || !needs(engine, model) || !mayOrder(engine.id, now)) {
+      const double others = expectedLoads - unresolved_.loadProbability(engine.id);
+      const bool hasSlot = budget > 0 && others + 1 <= static_cast<double>(maxLoads);
+      if (!hasSlot || !needsLoad(engine, model) || !mayOrder(engine.id, now)) {
         continue;
       }
       --budget;
-      likelyLoads = others + unresolved_.newLoadLikelihood();
+      expectedLoads = others + unresolved_.newLoadProbability();
       schedule_.onOrdered(engine.id, now);
       const Incarnation incarnation = engine.report->incarnation;
       unresolved_.onSent(engine.id, {incarnation, orderCounts_[engine.id]}, now);
--- a/src/weights/load_schedule.cc
+++ b/src/weights/load_schedule.cc
@@ -9,35 +9,36 @@
   ordered_.clear();
 }
 
-void LoadSchedule::update(const std::vector<DueServer>& due, std::size_t room, MonotonicTime now) {
+void LoadSchedule::update(const std::vector<DueServer>& due, std::size_t maxLoads,
+                          MonotonicTime now) {
   std::set<BackendId> wanted;
   for (const DueServer& server : due) {
     wanted.insert(server.id);
   }
   std::erase_if(announced_,
                 [&wanted](const auto& announced) { return !wanted.contains(announced.first); });
-  std::size_t places = freePlaces(room, now);
+  std::size_t slots = freeSlots(maxLoads, now);
   for (const DueServer& server : due) {
     const MonotonicTime from = server.idle ? now : now + settings_.lead;
     const auto known = announced_.find(server.id);
     if (known != announced_.end()) {
       known->second = std::min(known->second, from);
-    } else if (places > 0 && !ordered_.contains(server.id)) {
+    } else if (slots > 0 && !ordered_.contains(server.id)) {
       announced_.emplace(server.id, from);
-      --places;
+      --slots;
     }
   }
 }
 
-std::size_t LoadSchedule::freePlaces(std::size_t room, MonotonicTime now) const {
-  // A load gives its place to the next server's announcement when it is so old that it ends about
-  // when the lead is over.
+std::size_t LoadSchedule::freeSlots(std::size_t maxLoads, MonotonicTime now) const {
+  // A load frees its slot for the next announcement once it is old enough to end at about the end
+  // of that announcement's lead.
   const Milliseconds releaseAge = std::max(Milliseconds(0), loadTime_ - settings_.lead);
-  const auto taken = static_cast<std::size_t>(std::count_if(
+  const auto occupied = static_cast<std::size_t>(std::count_if(
       ordered_.begin(), ordered_.end(),
       [releaseAge, now](const auto& ordered) { return now - ordered.second.since < releaseAge; }));
-  const std::size_t busy = announced_.size() + taken;
-  return room - std::min(room, busy);
+  const std::size_t busy = announced_.size() + occupied;
+  return maxLoads - std::min(maxLoads, busy);
 }
 
 bool LoadSchedule::mayOrder(const BackendId& server, MonotonicTime now) const {
@@ -50,7 +51,7 @@
   ordered_[server] = {now, true};
 }
 
-void LoadSchedule::onSeenLoading(const BackendId& server, MonotonicTime now) {
+void LoadSchedule::onLoadObserved(const BackendId& server, MonotonicTime now) {
   announced_.erase(server);
   ordered_.try_emplace(server, Load{now, false});
 }
@@ -70,10 +71,10 @@
   if (!load.measured) {
     return;
   }
-  /// Weight of the latest load among those seen.
-  constexpr int kLatestShare = 4;
+  /// The latest load contributes 1/4 to the moving average.
+  constexpr int kSmoothingDivisor = 4;
   const auto seen = std::chrono::duration_cast<Milliseconds>(now - load.since);
-  loadTime_ += (seen - loadTime_) / kLatestShare;
+  loadTime_ += (seen - loadTime_) / kSmoothingDivisor;
 }
 
 std::vector<BackendId> LoadSchedule::ordered() const {
--- a/src/weights/load_schedule.h
+++ b/src/weights/load_schedule.h
@@ -10,74 +10,78 @@
 namespace calicodrift::weights {
 
 struct LoadScheduleSettings {
-  /// A server is announced so long before it is ordered to load. Other nodes hear of it within two
-  /// intervals of the exchange, and requests that it runs come to their end meanwhile.
+  /// Time between a server's announcement and its order to load. Other nodes learn of the
+  /// announcement within two exchange intervals, and requests running on the server can finish in
+  /// the meantime.
   Milliseconds lead{500};
-  /// How long a load takes, until one was seen.
+  /// Load time estimate until the first load was observed.
   Milliseconds firstLoadTime{800};
 };
 
-/// A server that may load.
+/// A server that may be ordered to load.
 struct DueServer {
   BackendId id;
-  /// It gets no new work anyway, so that nobody needs to be told before its order.
+  /// Whether it receives no new requests anyway, so that its order needs no prior announcement.
   bool idle = false;
-  /// It may be ordered by now, not only when the lead is over.
+  /// Whether it may be ordered already now, not only at the end of the lead.
   bool settled = true;
 };
 
-/// When each server is announced and when it may be ordered to load, so that no node sends requests
-/// to a server that would refuse them. Servers are announced while others still load, early enough
-/// that the next order need not wait. No I/O; calls are told the time.
+/// Schedules announcements of servers and the earliest time of their orders to load, so that no
+/// node sends requests to a server that would refuse them. Servers are announced while others still
+/// load, early enough that the next order need not wait. Performs no I/O; the caller passes the
+/// time.
 ///
-/// Invariant: at most `room` servers are announced beside those that load, and none that gets work
-/// may be ordered sooner than the lead after its announcement.
+/// Invariant: at most `maxLoads` servers are announced in addition to those that load, and a server
+/// that receives requests is not ordered before the lead after its announcement has passed.
 class LoadSchedule {
  public:
   explicit LoadSchedule(LoadScheduleSettings settings)
       : settings_(settings), loadTime_(settings.firstLoadTime) {}
 
-  /// Forgets everything but how long loads take: another node gives orders now.
+  /// Discards all state except the load time estimate. Called when another node becomes the order
+  /// sender.
   void clear();
-  /// @param due the servers to load next, the first first.
-  /// @param room servers that may load at once.
-  void update(const std::vector<DueServer>& due, std::size_t room, MonotonicTime now);
+  /// @param due the servers to load next, in order of priority.
+  /// @param maxLoads maximum number of concurrent loads.
+  void update(const std::vector<DueServer>& due, std::size_t maxLoads, MonotonicTime now);
   bool mayOrder(const BackendId& server, MonotonicTime now) const;
-  /// An order was sent.
+  /// Records that an order was sent.
   void onOrdered(const BackendId& server, MonotonicTime now);
-  /// The server loads though no order of it counts as being carried out: one that was sent earlier
-  /// has come to it late. How long it takes teaches nothing of other loads.
-  void onSeenLoading(const BackendId& server, MonotonicTime now);
+  /// Records a load that no tracked order accounts for: an earlier order reached the server late.
+  /// Its duration is not used for the load time estimate.
+  void onLoadObserved(const BackendId& server, MonotonicTime now);
   bool isOrdered(const BackendId& server) const { return ordered_.contains(server); }
-  /// Whether it is announced or ordered.
+  /// Whether the server is announced or ordered.
   bool isReserved(const BackendId& server) const {
     return announced_.contains(server) || ordered_.contains(server);
   }
-  /// The server shows the result of its order.
+  /// Records that the server has the ordered weights.
   void onLoaded(const BackendId& server, MonotonicTime now);
-  /// The server's order no longer counts as being carried out, or the server is gone.
+  /// Records that the server's order is no longer considered in progress, or that the server was
+  /// removed.
   void onGone(const BackendId& server);
-  /// Servers that were ordered and have not shown the result.
+  /// Servers that were ordered and don't have the ordered weights yet.
   std::vector<BackendId> ordered() const;
-  /// All servers that should get no new work: those that are announced and those that load.
+  /// Servers that should receive no new requests: those announced and those loading.
   std::set<BackendId> reserved() const;
-  /// Time from order to result, as seen lately.
+  /// Moving average of the time from an order to its result.
   Milliseconds loadTime() const { return loadTime_; }
 
  private:
   struct Load {
-    /// When its order was sent, or when it was seen.
+    /// When the order was sent, or when the load was first observed.
     MonotonicTime since;
-    /// Whether the time from then to the result is that of a load.
+    /// Whether the time from `since` to the result is the duration of a load.
     bool measured = true;
   };
 
-  /// Places for further announcements.
-  std::size_t freePlaces(std::size_t room, MonotonicTime now) const;
+  /// Number of further servers that may be announced.
+  std::size_t freeSlots(std::size_t maxLoads, MonotonicTime now) const;
 
   LoadScheduleSettings settings_;
   Milliseconds loadTime_;
-  /// From when on each announced server may be ordered.
+  /// Earliest time at which each announced server may be ordered.
   std::map<BackendId, MonotonicTime> announced_;
   std::map<BackendId, Load> ordered_;
 };
--- a/src/weights/unresolved_orders.cc
+++ b/src/weights/unresolved_orders.cc
@@ -6,8 +6,8 @@
 
 void UnresolvedOrders::clear() {
   orders_.clear();
-  takenShare_ = 1;
-  unansweredTakenShare_ = 1;
+  acceptedRatio_ = 1;
+  unansweredAcceptedRatio_ = 1;
 }
 
 void UnresolvedOrders::onSent(const BackendId& server, OrderCondition condition,
@@ -15,12 +15,12 @@
   Order order;
   order.condition = condition;
   order.sentAt = now;
-  order.askedAt = now;
-  order.firstSentAt = now;
+  order.lastPolledAt = now;
+  order.firstUncountedSentAt = now;
   const auto found = orders_.find(server);
-  if (found != orders_.end() && found->second.holdsPlace) {
+  if (found != orders_.end() && found->second.holdsSlot) {
     order.sent = found->second.sent + 1;
-    order.firstSentAt = found->second.counted ? now : found->second.firstSentAt;
+    order.firstUncountedSentAt = found->second.recorded ? now : found->second.firstUncountedSentAt;
     order.repeated = found->second.repeated;
   } else {
     order.repeated = found != orders_.end() && found->second.condition == condition;
@@ -28,12 +28,12 @@
   orders_[server] = order;
 }
 
-void UnresolvedOrders::onSilent(const BackendId& server, MonotonicTime now) {
+void UnresolvedOrders::onNoResponse(const BackendId& server, MonotonicTime now) {
   Order unknown;
   unknown.sentAt = now;
-  unknown.askedAt = now;
-  unknown.firstSentAt = now;
-  unknown.counted = true;
+  unknown.lastPolledAt = now;
+  unknown.firstUncountedSentAt = now;
+  unknown.recorded = true;
   orders_.try_emplace(server, unknown);
 }
 
@@ -44,11 +44,11 @@
   }
   Order& order = found->second;
   order.answer = answer;
-  if (answer == OrderAnswer::kTaken) {
-    count(order, true);
+  if (answer == OrderAnswer::kAccepted) {
+    recordArrival(order, true);
   }
   if (answer == OrderAnswer::kRefused) {
-    order.holdsPlace = false;
+    order.holdsSlot = false;
   }
 }
 
@@ -58,67 +58,67 @@
     return ReportedEffect::kUnknown;
   }
   Order& order = found->second;
-  order.askedAt = report.askedAt;
+  order.lastPolledAt = report.requestedAt;
   if (order.condition != OrderCondition{report.incarnation, report.orderCount}) {
-    if (order.holdsPlace && !order.repeated) {
-      count(order, true);
+    if (order.holdsSlot && !order.repeated) {
+      recordArrival(order, true);
     }
     orders_.erase(found);
-    return ReportedEffect::kKnown;
+    return ReportedEffect::kResolved;
   }
   if (report.busy || order.answer != OrderAnswer::kLost) {
     return ReportedEffect::kUnknown;
   }
-  if (report.askedAt - order.firstSentAt >= settings_.reportAge) {
-    count(order, false);
+  if (report.requestedAt - order.firstUncountedSentAt >= settings_.maxReportAge) {
+    recordArrival(order, false);
   }
-  const bool shows = report.askedAt - order.sentAt >= settings_.reportAge;
-  if (!shows || !order.holdsPlace) {
+  const bool shows = report.requestedAt - order.sentAt >= settings_.maxReportAge;
+  if (!shows || !order.holdsSlot) {
     return ReportedEffect::kUnknown;
   }
-  order.holdsPlace = false;
-  return ReportedEffect::kNone;
+  order.holdsSlot = false;
+  return ReportedEffect::kNotAccepted;
 }
 
-void UnresolvedOrders::count(Order& order, bool taken) {
-  /// Weight of the latest order among those before.
-  constexpr double kLatestShare = 0.35;
-  if (order.counted) {
+void UnresolvedOrders::recordArrival(Order& order, bool accepted) {
+  /// Weight of the latest order in the moving averages.
+  constexpr double kSmoothingFactor = 0.35;
+  if (order.recorded) {
     return;
   }
-  order.counted = true;
-  const double latest = taken ? 1 : 0;
-  takenShare_ += (latest - takenShare_) * kLatestShare;
+  order.recorded = true;
+  const double latest = accepted ? 1 : 0;
+  acceptedRatio_ += (latest - acceptedRatio_) * kSmoothingFactor;
   if (order.answer == OrderAnswer::kLost) {
-    unansweredTakenShare_ += (latest - unansweredTakenShare_) * kLatestShare;
+    unansweredAcceptedRatio_ += (latest - unansweredAcceptedRatio_) * kSmoothingFactor;
   }
 }
 
-double UnresolvedOrders::loadLikelihood(const BackendId& server) const {
+double UnresolvedOrders::loadProbability(const BackendId& server) const {
   const auto found = orders_.find(server);
-  if (found == orders_.end() || !found->second.holdsPlace) {
+  if (found == orders_.end() || !found->second.holdsSlot) {
     return 0;
   }
   const Order& order = found->second;
   if (!order.answer && order.condition) {
-    return newLoadLikelihood();
+    return newLoadProbability();
   }
-  return order.answer == OrderAnswer::kLost ? unansweredTakenShare_ : 1;
+  return order.answer == OrderAnswer::kLost ? unansweredAcceptedRatio_ : 1;
 }
 
-std::vector<BackendId> UnresolvedOrders::takeExpired(MonotonicTime now) {
+std::vector<BackendId> UnresolvedOrders::releaseExpired(MonotonicTime now) {
   std::vector<BackendId> expired;
   for (auto& [server, order] : orders_) {
-    if (order.holdsPlace && now - order.sentAt >= settings_.placeTerm) {
-      order.holdsPlace = false;
+    if (order.holdsSlot && now - order.sentAt >= settings_.slotTimeout) {
+      order.holdsSlot = false;
       expired.push_back(server);
     }
   }
   return expired;
 }
 
-int UnresolvedOrders::ordersInPlace() const {
-  return loadsForeseeable() ? settings_.ordersInPlace : 1;
+int UnresolvedOrders::maxConsecutiveOrders() const {
+  return loadsPredictable() ? settings_.maxConsecutiveOrders : 1;
 }
 
 bool UnresolvedOrders::mayOrder(const BackendId& server, MonotonicTime at) const {
@@ -130,22 +130,22 @@
   if (!order.condition) {
     return true;
   }
-  if (order.holdsPlace) {
-    return order.answer == OrderAnswer::kLost && order.sent < ordersInPlace();
+  if (order.holdsSlot) {
+    return order.answer == OrderAnswer::kLost && order.sent < maxConsecutiveOrders();
   }
   return at - order.sentAt >= settings_.repeatInterval;
 }
 
-std::vector<BackendId> UnresolvedOrders::toAsk(std::size_t limit, MonotonicTime now) const {
+std::vector<BackendId> UnresolvedOrders::serversToPoll(std::size_t limit, MonotonicTime now) const {
   std::vector<std::pair<MonotonicTime, BackendId>> waiting;
   for (const auto& [server, order] : orders_) {
-    if (!order.holdsPlace && now - order.askedAt >= settings_.askInterval) {
-      waiting.emplace_back(order.askedAt, server);
+    if (!order.holdsSlot && now - order.lastPolledAt >= settings_.pollInterval) {
+      waiting.emplace_back(order.lastPolledAt, server);
     }
   }
   std::sort(waiting.begin(), waiting.end());
   std::vector<BackendId> servers;
-  for (const auto& [askedAt, server] : waiting) {
+  for (const auto& [lastPolledAt, server] : waiting) {
     if (servers.size() < limit) {
       servers.push_back(server);
     }
@@ -153,10 +153,10 @@
   return servers;
 }
 
-std::set<BackendId> UnresolvedOrders::holdingPlaces() const {
+std::set<BackendId> UnresolvedOrders::slotHolders() const {
   std::set<BackendId> servers;
   for (const auto& [server, order] : orders_) {
-    if (order.holdsPlace) {
+    if (order.holdsSlot) {
       servers.insert(server);
     }
   }
--- a/src/weights/unresolved_orders.h
+++ b/src/weights/unresolved_orders.h
@@ -11,32 +11,32 @@
 
 namespace calicodrift::weights {
 
-/// What the answer to an order to load tells.
+/// Outcome of an order to load, as given by its answer.
 enum class OrderAnswer {
-  /// The server carries it out.
-  kTaken,
-  /// The server did not take it: its count of orders is another or it carries out another one.
+  /// The server executes the order.
+  kAccepted,
+  /// The server rejected the order: its order count differs, or it executes another order.
   kConflict,
-  /// The server did not take it for another reason, or the order was not sent.
+  /// The server rejected the order for another reason, or the order was not sent.
   kRefused,
-  /// No answer: the order may have been taken, be carried out later, or never.
+  /// There was no answer: the order may have been accepted, or be executed later or never.
   kLost,
 };
 
-/// What a server's report tells of its orders.
+/// The part of a server's report that concerns its orders.
 struct LoadReport {
-  /// Start of the server that tells.
+  /// Incarnation of the reporting server.
   Incarnation incarnation;
-  /// Orders taken so far.
+  /// Number of orders accepted so far.
   std::uint64_t orderCount = 0;
   bool busy = false;
-  /// Whether any of its models is older than the weights that were named.
-  bool behind = false;
-  /// When the report was asked for.
-  MonotonicTime askedAt;
+  /// Whether any of its models is older than the named weights.
+  bool outdated = false;
+  /// When the report was requested.
+  MonotonicTime requestedAt;
 };
 
-/// A server carries an order out only while this holds.
+/// Precondition of an order: the server executes the order only while this matches its state.
 struct OrderCondition {
   Incarnation incarnation;
   std::uint64_t orderCount = 0;
@@ -44,107 +44,113 @@
   bool operator==(const OrderCondition&) const = default;
 };
 
-/// What a report tells of an order.
+/// What a report shows about an order.
 enum class ReportedEffect {
   /// Nothing new.
   kUnknown,
-  /// The order was not taken on arrival: it may be carried out later or never.
-  kNone,
-  /// The order's condition no longer holds: it was carried out, or can't be any more.
-  kKnown,
+  /// The order was not accepted on arrival; it may be executed later or never.
+  kNotAccepted,
+  /// The order's condition no longer holds: the order was executed, or can no longer be.
+  kResolved,
 };
 
 struct UnresolvedOrdersSettings {
-  /// An order counts as being carried out for so long after it was sent, unless a report shows
-  /// otherwise. Longer than a load takes with its report: a load of 0.6 s and a report 0.2 s old.
-  Milliseconds placeTerm{1500};
-  /// A report that was asked for so long after an order shows whether it was taken on arrival:
-  /// reports are some hundred milliseconds old.
-  Milliseconds reportAge{400};
-  /// Pause between two questions to a server whose order may still be carried out.
-  Milliseconds askInterval{500};
-  /// Pause before a server is ordered again while its last order may still be carried out. Orders
-  /// that are 2 to 12 s late come to effect in 3 s on the mean where one is sent each 0.7 s.
+  /// An order holds its slot for this time after it was sent, unless a report shows that it was not
+  /// accepted. Longer than a load and its report take: a load of 0.6 s plus a report that is 0.2 s
+  /// old.
+  Milliseconds slotTimeout{1500};
+  /// A report requested at least this long after an order shows whether the order was accepted on
+  /// arrival. Reports are some hundred milliseconds old.
+  Milliseconds maxReportAge{400};
+  /// Interval between polls of a server whose order may still be executed.
+  Milliseconds pollInterval{500};
+  /// Interval between orders to a server whose last order may still be executed. Orders that arrive
+  /// 2 to 12 s late take effect after 3 s on average if one is sent every 0.7 s.
   Milliseconds repeatInterval{700};
-  /// A server is ordered so many times in a row, each time as soon as the answer is lost, before it
-  /// goes behind the others: it has been announced for it already. With 0.6 of all orders late,
-  /// four servers in five load by then.
-  int ordersInPlace = 3;
-  /// While at least this share of the latest orders is taken on arrival, loads can be foreseen.
-  double foreseeableShare = 0.3;
+  /// Maximum number of consecutive orders to a server, each sent as soon as the previous answer is
+  /// lost, before other servers take precedence; the server has been announced for them already.
+  /// With 0.6 of all orders delayed, four servers out of five load within this number of orders.
+  int maxConsecutiveOrders = 3;
+  /// Loads are predictable while at least this ratio of recent orders is accepted on arrival.
+  double predictableRatio = 0.3;
 };
 
-/// The orders that were sent and whose effect is not known: unanswered ones, which may have been
-/// taken, may be carried out seconds later, or never, and those turned away because of one before.
-/// No I/O; calls are told the time.
+/// Tracks orders that were sent and whose effect is not known: unanswered orders, which may have
+/// been accepted or may be executed seconds later or never, and orders rejected because of an
+/// earlier one. Performs no I/O; the caller passes the time.
 ///
-/// An order is carried out only while its condition holds, and the condition of an order that was
-/// carried out never holds again. So the effect is known as soon as a report shows that it does not
-/// hold, and of several orders with the same condition a server carries out one at most: repeating
-/// an order is safe and only brings the load forward.
+/// An order is executed only while its condition holds, and the condition of an executed order
+/// never holds again. The effect is therefore known as soon as a report shows that the condition
+/// does not hold, and a server executes at most one of several orders with the same condition.
+/// Repeating an order is safe and only brings the load forward.
 class UnresolvedOrders {
  public:
   explicit UnresolvedOrders(UnresolvedOrdersSettings settings) : settings_(settings) {}
 
-  /// Forgets everything: nothing is to be ordered, or another node gave orders until now.
+  /// Discards all state. Called when there is nothing to order, or when another node was the order
+  /// sender until now.
   void clear();
   void onSent(const BackendId& server, OrderCondition condition, MonotonicTime now);
-  /// The server does not answer. It may be carrying out an order of an earlier order giver.
-  void onSilent(const BackendId& server, MonotonicTime now);
+  /// Records that the server does not respond. It may be executing an order of a previous order
+  /// sender.
+  void onNoResponse(const BackendId& server, MonotonicTime now);
   void onAnswer(const BackendId& server, OrderAnswer answer);
-  /// What the report tells of the server's order that was not known before.
+  /// Returns what the report newly shows about the server's order.
   ReportedEffect onReport(const BackendId& server, const LoadReport& report);
-  /// The server is gone or has the newest weights.
+  /// Stops tracking the server: it was removed or has the newest weights.
   void forget(const BackendId& server) { orders_.erase(server); }
-  /// Orders that no longer count as being carried out, as their term is over.
-  std::vector<BackendId> takeExpired(MonotonicTime now);
-  /// Whether an order to the server could still change something at this time.
+  /// Releases the slots of orders that have timed out, and returns their servers.
+  std::vector<BackendId> releaseExpired(MonotonicTime now);
+  /// Whether an order to the server at time `at` could still have an effect and is within the
+  /// limits on repeated orders.
   bool mayOrder(const BackendId& server, MonotonicTime at) const;
-  /// Servers whose order no longer counts as being carried out, but may be later, and that have not
-  /// been asked lately: at most `limit`, those first that were asked the longest ago.
-  std::vector<BackendId> toAsk(std::size_t limit, MonotonicTime now) const;
-  /// Servers whose orders count as being carried out.
-  std::set<BackendId> holdingPlaces() const;
-  /// Whether orders are mostly taken on arrival. Else an order tells little of when its server will
-  /// load, so that nobody need be told before it, and none holds up the next.
-  bool loadsForeseeable() const { return takenShare_ >= settings_.foreseeableShare; }
-  /// How likely the server loads now for its order, from 0 to 1: 1 where it was taken, and where
-  /// the answer was lost as often as such orders were taken on arrival lately.
-  double loadLikelihood(const BackendId& server) const;
-  /// The same of an order that is sent now.
-  double newLoadLikelihood() const { return loadsForeseeable() ? 1 : takenShare_; }
-  /// When the server's order was sent; nothing where its effect is known.
+  /// Servers whose orders hold no slot any more but may still be executed, and that were not polled
+  /// recently. Returns at most `limit` servers, the least recently polled ones first.
+  std::vector<BackendId> serversToPoll(std::size_t limit, MonotonicTime now) const;
+  /// Servers whose orders are assumed to be in progress.
+  std::set<BackendId> slotHolders() const;
+  /// Whether most orders are accepted on arrival. Otherwise an order says little about when its
+  /// server will load, so loads are not announced and no order delays the next one.
+  bool loadsPredictable() const { return acceptedRatio_ >= settings_.predictableRatio; }
+  /// Probability, from 0 to 1, that the server is loading because of its order: 1 if the order was
+  /// accepted; if its answer was lost, the ratio of such orders that were recently accepted on
+  /// arrival.
+  double loadProbability(const BackendId& server) const;
+  /// Probability, from 0 to 1, that an order sent now starts a load.
+  double newLoadProbability() const { return loadsPredictable() ? 1 : acceptedRatio_; }
+  /// When the server's order was sent; empty if its effect is known.
   std::optional<MonotonicTime> sentAt(const BackendId& server) const;
   std::vector<BackendId> servers() const;
 
  private:
   struct Order {
-    /// Nothing where the server was found silent: any report tells that it is idle or loads.
+    /// Empty if the server did not respond to a poll: any report then shows whether it is idle or
+    /// loading.
     std::optional<OrderCondition> condition;
     MonotonicTime sentAt;
-    MonotonicTime askedAt;
-    /// Orders in a row for which it has held its place.
+    MonotonicTime lastPolledAt;
+    /// Number of consecutive orders for which the server has held its slot.
     int sent = 1;
-    /// When the first of them was sent that is not counted yet.
-    MonotonicTime firstSentAt;
-    /// Whether it is counted in the share of orders taken on arrival.
-    bool counted = false;
-    /// An earlier order with the same condition may be carried out as well.
+    /// When the first of those orders was sent that is not yet included in the accepted ratio.
+    MonotonicTime firstUncountedSentAt;
+    /// Whether the order is included in the accepted ratio.
+    bool recorded = false;
+    /// Whether an earlier order with the same condition may be executed as well.
     bool repeated = false;
-    /// Nothing while the answer may still come.
+    /// Empty while the answer may still arrive.
     std::optional<OrderAnswer> answer;
-    /// Whether it still counts as being carried out.
-    bool holdsPlace = true;
+    /// Whether the order is still assumed to be in progress.
+    bool holdsSlot = true;
   };
 
-  void count(Order& order, bool taken);
-  int ordersInPlace() const;
+  void recordArrival(Order& order, bool accepted);
+  int maxConsecutiveOrders() const;
 
   UnresolvedOrdersSettings settings_;
-  /// Share of the latest orders that were taken on arrival, of those of which it is known.
-  double takenShare_ = 1;
-  /// The same of the orders whose answers were lost.
-  double unansweredTakenShare_ = 1;
+  /// Moving average of the ratio of orders accepted on arrival, over those whose arrival is known.
+  double acceptedRatio_ = 1;
+  /// The same ratio over orders whose answers were lost.
+  double unansweredAcceptedRatio_ = 1;
   std::map<BackendId, Order> orders_;
 };
 
--- a/src/weights/weights_history.cc
+++ b/src/weights/weights_history.cc
@@ -5,11 +5,11 @@
 namespace calicodrift::weights {
 namespace {
 
-/// More than are in use at once, so that what is dropped has run out long before.
-constexpr std::size_t kMostNamings = 16;
+/// More versions than are in use at once, so a dropped version expired long before.
+constexpr std::size_t kMaxNamings = 16;
 
-/// The end of a gap that follows another one: the first that is still to come.
-MonotonicTime endOfGaps(MonotonicTime before, MonotonicTime after, MonotonicTime now) {
+/// Expiry after two consecutive gaps: the earlier one of those that have not passed.
+MonotonicTime combineExpiries(MonotonicTime before, MonotonicTime after, MonotonicTime now) {
   return now < before ? std::min(before, after) : after;
 }
 
@@ -21,32 +21,33 @@
       return "seen";
     case NamingSource::kFound:
       return "found";
-    case NamingSource::kTold:
-      return "told";
+    case NamingSource::kReportedByPeer:
+      return "received";
   }
   return "found";
 }
 
-void WeightsHistory::name(WeightsVersion version, MonotonicTime now, Milliseconds late) {
-  // Known versions keep the times at which they were first heard of.
-  namings_.emplace(version, Naming{now - late, now, NamingSource::kSeen});
-  while (namings_.size() > kMostNamings) {
+void WeightsHistory::addObserved(WeightsVersion version, MonotonicTime now, Milliseconds maxDelay) {
+  // Known versions keep the time at which they were first observed.
+  namings_.emplace(version, Naming{now - maxDelay, now, NamingSource::kSeen});
+  while (namings_.size() > kMaxNamings) {
     namings_.erase(namings_.begin());
   }
 }
 
-void WeightsHistory::find(WeightsVersion version, const UncoveredEnds& ends, MonotonicTime now) {
+void WeightsHistory::addDiscovered(WeightsVersion version, const IncompleteHistoryLimits& limits,
+                                   MonotonicTime now) {
   if (version <= newest()) {
     return;
   }
-  // What was found before stays in force: a second gap makes nothing usable again.
-  givenUp_ = leastUncovered(ends_.send, now);
-  ends_.send = endOfGaps(ends_.send, ends.send, now);
-  ends_.wait = endOfGaps(ends_.wait, ends.wait, now);
-  ends_.since = ends.since;
+  // Limits from earlier discoveries stay in force: a second gap makes no version usable again.
+  abandonedBelow_ = leastWithIncompleteHistory(incompleteLimits_.send, now);
+  incompleteLimits_.send = combineExpiries(incompleteLimits_.send, limits.send, now);
+  incompleteLimits_.wait = combineExpiries(incompleteLimits_.wait, limits.wait, now);
+  incompleteLimits_.since = limits.since;
   coveredFrom_ = version;
-  foundAt_ = now;
-  // It was named by now, which tells when the ones before have run out for everybody.
+  discoveredAt_ = now;
+  // The version was named by now at the latest, which bounds the expiry of older ones on all nodes.
   namings_.emplace(version, Naming{now, now, NamingSource::kFound});
 }
 
@@ -55,36 +56,36 @@
     return false;
   }
   floors_.emplace(floor, now);
-  while (floors_.size() > kMostNamings) {
+  while (floors_.size() > kMaxNamings) {
     floors_.erase(floors_.begin());
   }
   return true;
 }
 
-bool WeightsHistory::learn(const fleet::NamedWeights& told, MonotonicTime now) {
-  bool changed = raiseFloor(told.floor, now);
-  bool tellsFound = false;
-  for (const fleet::WeightsNaming& naming : told.namings) {
-    changed = take(naming, now) || changed;
-    tellsFound = tellsFound || naming.weights >= coveredFrom_;
+bool WeightsHistory::merge(const fleet::NamedWeights& received, MonotonicTime now) {
+  bool changed = raiseFloor(received.floor, now);
+  bool includesDiscovered = false;
+  for (const fleet::WeightsNaming& naming : received.namings) {
+    changed = mergeNaming(naming, now) || changed;
+    includesDiscovered = includesDiscovered || naming.weights >= coveredFrom_;
   }
-  if (tellsFound && told.coveredFrom < coveredFrom_) {
-    coveredFrom_ = told.coveredFrom;
-    givenUp_ = std::min(givenUp_, coveredFrom_);
+  if (includesDiscovered && received.coveredFrom < coveredFrom_) {
+    coveredFrom_ = received.coveredFrom;
+    abandonedBelow_ = std::min(abandonedBelow_, coveredFrom_);
     changed = true;
   }
   return changed;
 }
 
-bool WeightsHistory::take(const fleet::WeightsNaming& told, MonotonicTime now) {
-  if (told.weights > newest()) {
+bool WeightsHistory::mergeNaming(const fleet::WeightsNaming& received, MonotonicTime now) {
+  if (received.weights > newest()) {
     return false;
   }
-  const MonotonicTime since = now - told.age;
-  // That older weights are outdated was heard with the version that was found.
-  const MonotonicTime heardAt = told.weights <= coveredFrom_ ? foundAt_ : now;
-  const auto [known, added] =
-      namings_.try_emplace(told.weights, Naming{since, heardAt, NamingSource::kTold});
+  const MonotonicTime since = now - received.age;
+  // This node learned that older weights are outdated when it discovered the newer version.
+  const MonotonicTime learnedAt = received.weights <= coveredFrom_ ? discoveredAt_ : now;
+  const auto [known, added] = namings_.try_emplace(
+      received.weights, Naming{since, learnedAt, NamingSource::kReportedByPeer});
   if (added) {
     return true;
   }
@@ -92,58 +93,62 @@
     return false;
   }
   known->second.since = since;
-  known->second.source = NamingSource::kTold;
+  known->second.source = NamingSource::kReportedByPeer;
   return true;
 }
 
-std::optional<fleet::NamedWeights> WeightsHistory::known(const ModelId& model,
-                                                         const WeightsTerms& terms,
-                                                         MonotonicTime now) const {
-  fleet::NamedWeights told;
-  told.model = model;
-  told.floor = certainLeast(terms, now);
-  told.coveredFrom = std::max(coveredFrom_, told.floor);
-  // What has run out for all is told for one more term: a node that can't read it from the store
-  // hears of it.
+std::optional<fleet::NamedWeights> WeightsHistory::exportNamings(const ModelId& model,
+                                                                 const WeightsTerms& terms,
+                                                                 MonotonicTime now) const {
+  fleet::NamedWeights received;
+  received.model = model;
+  received.floor = confirmedLeast(terms, now);
+  received.coveredFrom = std::max(coveredFrom_, received.floor);
+  // Versions that have expired on all nodes are reported for one more term, for nodes that can't
+  // read them from the store.
   if (newestNamedFor(2 * terms.send, now) >= newest()) {
     return std::nullopt;
   }
-  for (auto naming = namings_.lower_bound(told.coveredFrom); naming != namings_.end(); ++naming) {
-    // When that one was named is not known; it only stands for what came before.
+  for (auto naming = namings_.lower_bound(received.coveredFrom); naming != namings_.end();
+       ++naming) {
+    // The time of this naming is not known; the entry only bounds the versions before it.
     if (naming->first == coveredFrom_ && naming->second.source == NamingSource::kFound) {
       continue;
     }
-    // Rounded down, so that an age does not grow by being told around.
+    // Rounded down, so that an age doesn't grow by being passed from node to node.
     const auto age = std::chrono::floor<Milliseconds>(now - naming->second.since);
-    told.namings.push_back({naming->first, age});
+    received.namings.push_back({naming->first, age});
   }
-  const bool tellsNothing = told.namings.empty() && told.floor == WeightsVersion();
-  return tellsNothing ? std::nullopt : std::optional(told);
+  const bool isEmpty = received.namings.empty() && received.floor == WeightsVersion();
+  return isEmpty ? std::nullopt : std::optional(received);
 }
 
 WeightsVersion WeightsHistory::newest() const {
   return namings_.empty() ? coveredFrom_ : std::max(coveredFrom_, namings_.rbegin()->first);
 }
 
-WeightsVersion WeightsHistory::least(const WeightsTerms& terms, MonotonicTime now) const {
-  return std::max(certainLeast(terms, now), leastUncovered(ends_.send, now));
+WeightsVersion WeightsHistory::leastSendable(const WeightsTerms& terms, MonotonicTime now) const {
+  return std::max(confirmedLeast(terms, now),
+                  leastWithIncompleteHistory(incompleteLimits_.send, now));
 }
 
-WeightsVersion WeightsHistory::leastWaiting(const WeightsTerms& terms, MonotonicTime now) const {
-  WeightsVersion least = std::max(newestNamedFor(terms.wait, now), leastUncovered(ends_.wait, now));
-  for (const auto& [floor, heardAt] : floors_) {
-    if (now - heardAt >= terms.wait - terms.send) {
+WeightsVersion WeightsHistory::leastWaitable(const WeightsTerms& terms, MonotonicTime now) const {
+  WeightsVersion least = std::max(newestNamedFor(terms.wait, now),
+                                  leastWithIncompleteHistory(incompleteLimits_.wait, now));
+  for (const auto& [floor, learnedAt] : floors_) {
+    if (now - learnedAt >= terms.wait - terms.send) {
       least = std::max(least, floor);
     }
   }
   return least;
 }
 
-WeightsVersion WeightsHistory::leastUncovered(MonotonicTime end, MonotonicTime now) const {
-  return now < end ? givenUp_ : std::max(givenUp_, coveredFrom_);
+WeightsVersion WeightsHistory::leastWithIncompleteHistory(MonotonicTime end,
+                                                          MonotonicTime now) const {
+  return now < end ? abandonedBelow_ : std::max(abandonedBelow_, coveredFrom_);
 }
 
-WeightsVersion WeightsHistory::certainLeast(const WeightsTerms& terms, MonotonicTime now) const {
+WeightsVersion WeightsHistory::confirmedLeast(const WeightsTerms& terms, MonotonicTime now) const {
   return std::max(floor(), newestNamedFor(terms.send, now));
 }
 
@@ -157,22 +162,22 @@
   return found;
 }
 
-std::optional<MonotonicTime> WeightsHistory::nextEnd(const WeightsTerms& terms,
-                                                     MonotonicTime now) const {
+std::optional<MonotonicTime> WeightsHistory::nextExpiry(const WeightsTerms& terms,
+                                                        MonotonicTime now) const {
   std::optional<MonotonicTime> next;
-  const auto note = [&next, now](MonotonicTime end) {
+  const auto consider = [&next, now](MonotonicTime end) {
     if (end > now) {
       next = std::min(end, next.value_or(end));
     }
   };
-  note(ends_.send);
-  note(ends_.wait);
+  consider(incompleteLimits_.send);
+  consider(incompleteLimits_.wait);
   for (const auto& [version, naming] : namings_) {
-    note(naming.since + terms.send);
-    note(naming.since + terms.wait);
+    consider(naming.since + terms.send);
+    consider(naming.since + terms.wait);
   }
-  for (const auto& [floor, heardAt] : floors_) {
-    note(heardAt + (terms.wait - terms.send));
+  for (const auto& [floor, learnedAt] : floors_) {
+    consider(learnedAt + (terms.wait - terms.send));
   }
   return next;
 }
@@ -184,8 +189,8 @@
 
 std::optional<MonotonicTime> WeightsHistory::outdatedSince(WeightsVersion version) const {
   std::optional<MonotonicTime> since;
-  if (uncovered(version)) {
-    since = ends_.since;
+  if (historyIncomplete(version)) {
+    since = incompleteLimits_.since;
   }
   if (const Naming* successor = successorOf(version)) {
     since = std::min(successor->since, since.value_or(successor->since));
@@ -193,19 +198,19 @@
   return since;
 }
 
-std::optional<MonotonicTime> WeightsHistory::outdatedHeardAt(WeightsVersion version) const {
-  std::optional<MonotonicTime> heardAt;
-  if (uncovered(version)) {
-    heardAt = foundAt_;
+std::optional<MonotonicTime> WeightsHistory::supersessionLearnedAt(WeightsVersion version) const {
+  std::optional<MonotonicTime> learnedAt;
+  if (historyIncomplete(version)) {
+    learnedAt = discoveredAt_;
   }
   if (const Naming* successor = successorOf(version)) {
-    heardAt = std::min(successor->heardAt, heardAt.value_or(successor->heardAt));
+    learnedAt = std::min(successor->learnedAt, learnedAt.value_or(successor->learnedAt));
   }
-  return heardAt;
+  return learnedAt;
 }
 
-std::optional<NamingSource> WeightsHistory::outdatedBy(WeightsVersion version) const {
-  if (uncovered(version)) {
+std::optional<NamingSource> WeightsHistory::supersessionSource(WeightsVersion version) const {
+  if (historyIncomplete(version)) {
     return NamingSource::kFound;
   }
   const Naming* successor = successorOf(version);
--- a/src/weights/weights_history.h
+++ b/src/weights/weights_history.h
@@ -12,116 +12,123 @@
 
 /// How long an older version is used after a newer one is known.
 struct WeightsTerms {
-  /// Requests are sent to servers with the older version.
+  /// How long requests are sent to servers with the older version.
   Milliseconds send{0};
-  /// Requests that such a server has not begun wait on. Ends with enough time left for their
-  /// connections to be closed before the deployment's bound on beginnings.
+  /// How long requests that such a server has not begun keep waiting. Leaves enough time to close
+  /// their connections before the deployment's bound on the start of requests.
   Milliseconds wait{0};
 };
 
-/// How versions are used of which a node does not know when they were replaced.
-struct UncoveredEnds {
+/// Until when versions are used whose time of replacement the node does not know.
+struct IncompleteHistoryLimits {
   MonotonicTime send{};
   MonotonicTime wait{};
-  /// Since when they may have been outdated.
+  /// The earliest time at which they may have become outdated.
   MonotonicTime since{};
 };
 
-/// How a node knows of a naming, for logs.
+/// How a node learned of a naming; written to logs.
 enum class NamingSource {
-  /// Its watch told of it.
+  /// The node's watch reported it.
   kSeen,
-  /// It stood in a listing, or in a change that came late: nothing tells its age.
+  /// It was in a listing or in a delayed change, so its age is unknown.
   kFound,
-  /// Another node told its age.
-  kTold,
+  /// Another node reported its age.
+  kReportedByPeer,
 };
 std::string_view toString(NamingSource source);
 
-/// What a node knows of the versions that were named for one model. No I/O; calls are told the
-/// time.
+/// What a node knows of the versions that were named for one model. Performs no I/O; the caller
+/// passes the time.
 ///
-/// A node that starts reads the newest version alone. Which versions there were before, and when
-/// each was replaced, is what nodes that watched tell it. So a history says from which version on
-/// it is complete: of the versions from `coveredFrom` on, the next naming is known with its age; on
-/// older ones nothing is known but that they are outdated.
+/// A starting node reads only the newest version. It learns of earlier versions and the times at
+/// which they were replaced from nodes that watched. The history therefore records from which
+/// version on it is complete: for versions from `coveredFrom` on, the next naming is known with its
+/// age; of older versions, only that they are outdated.
 ///
-/// Invariant: least() is at least every version that was named for longer than the term, whatever
-/// this node missed. It holds because an outdated version is used only
-/// - for the term after a naming that is known, where the history is complete from that version on:
-///   its next naming is then known, and no age is greater than it was told or seen; or
-/// - until the end that find() was given, where it is not.
-/// Completeness is taken over only from a node that knows of the same newest naming, together with
-/// all namings that make it complete.
+/// Invariant: leastSendable() is not below any version that was named longer ago than the term,
+/// whatever this node missed. This holds because an outdated version is used only
+/// - for the term after a known naming, if the history is complete from that version on: its next
+///   naming is then known, and no age exceeds the reported or observed one; or
+/// - until the limit passed to addDiscovered(), if the history is not complete.
+/// Completeness is taken over only from a node that knows the same newest naming, together with all
+/// namings that make it complete.
 class WeightsHistory {
  public:
-  /// A version was named while this node watched.
-  /// @param late so long before it was heard, at most, beyond what the terms' margin allows for.
-  void name(WeightsVersion version, MonotonicTime now, Milliseconds late = Milliseconds(0));
-  /// A version was found, and others may have been named before it meanwhile.
-  /// @param ends older versions are used until then, unless another node knows more.
-  void find(WeightsVersion version, const UncoveredEnds& ends, MonotonicTime now);
-  /// Takes over what another node knows. The greatest age of a version holds, as a node that was
-  /// cut off counts from when it heard. What this node has not read itself yet is left to its own
-  /// watch.
+  /// Adds a version that was named while this node watched.
+  /// @param maxDelay maximum time between the naming and `now`, beyond what the terms' margin
+  /// allows for.
+  void addObserved(WeightsVersion version, MonotonicTime now,
+                   Milliseconds maxDelay = Milliseconds(0));
+  /// Adds a version that was discovered, and before which other versions may have been named
+  /// unnoticed.
+  /// @param limits until when older versions are used, unless another node knows more.
+  void addDiscovered(WeightsVersion version, const IncompleteHistoryLimits& limits,
+                     MonotonicTime now);
+  /// Merges what another node knows. The greatest age of a version applies, since a node that was
+  /// disconnected counts from when it learned of the naming. Versions newer than those this node
+  /// has read are left to its own watch.
   /// @return whether anything has changed.
-  bool learn(const fleet::NamedWeights& told, MonotonicTime now);
-  /// No request may be sent to versions below this one any more; those that wait there may do so
-  /// for as long as the terms differ. A floor above the newest version counts as none: it is wrong,
-  /// or comes before the naming that it follows from, and would end the terms of later ones.
-  /// @return whether that is new.
+  bool merge(const fleet::NamedWeights& received, MonotonicTime now);
+  /// Forbids sending requests to versions below the floor. Requests that wait for such versions may
+  /// keep waiting for the difference between the terms. A floor above the newest version is
+  /// ignored: it is wrong, or precedes the naming that it follows from, and would end the terms of
+  /// later namings.
+  /// @return whether the floor is new.
   bool raiseFloor(WeightsVersion floor, MonotonicTime now);
 
-  /// Nothing where all versions but the newest have run out, or this node knows nothing that
-  /// another one could use.
-  std::optional<fleet::NamedWeights> known(const ModelId& model, const WeightsTerms& terms,
-                                           MonotonicTime now) const;
+  /// The namings that other nodes can use; empty if all versions but the newest have expired, or if
+  /// this node knows nothing of use to others.
+  std::optional<fleet::NamedWeights> exportNamings(const ModelId& model, const WeightsTerms& terms,
+                                                   MonotonicTime now) const;
   WeightsVersion newest() const;
-  /// Least version to which requests may be sent.
-  WeightsVersion least(const WeightsTerms& terms, MonotonicTime now) const;
-  /// Least version with which requests may wait.
-  WeightsVersion leastWaiting(const WeightsTerms& terms, MonotonicTime now) const;
-  /// least() by what is known for certain: what this node does not use only because it knows too
-  /// little is not in it, so that it holds for all nodes.
-  WeightsVersion certainLeast(const WeightsTerms& terms, MonotonicTime now) const;
-  /// When the next version runs out by one of the terms; nothing where none will.
-  std::optional<MonotonicTime> nextEnd(const WeightsTerms& terms, MonotonicTime now) const;
-  /// Since when `version` is outdated, at the earliest; nothing where it is the newest.
+  /// Lowest version to which requests may be sent.
+  WeightsVersion leastSendable(const WeightsTerms& terms, MonotonicTime now) const;
+  /// Lowest version for which requests may wait.
+  WeightsVersion leastWaitable(const WeightsTerms& terms, MonotonicTime now) const;
+  /// Like leastSendable(), but without versions that this node avoids only because its history is
+  /// incomplete, so that it holds for all nodes.
+  WeightsVersion confirmedLeast(const WeightsTerms& terms, MonotonicTime now) const;
+  /// When the next term or limit ends; empty if none is pending.
+  std::optional<MonotonicTime> nextExpiry(const WeightsTerms& terms, MonotonicTime now) const;
+  /// The earliest time at which `version` may have become outdated; empty if it is the newest.
   std::optional<MonotonicTime> outdatedSince(WeightsVersion version) const;
-  /// When this node heard that `version` is outdated; nothing where it is the newest.
-  std::optional<MonotonicTime> outdatedHeardAt(WeightsVersion version) const;
-  std::optional<NamingSource> outdatedBy(WeightsVersion version) const;
+  /// When this node learned that `version` is outdated; empty if it is the newest.
+  std::optional<MonotonicTime> supersessionLearnedAt(WeightsVersion version) const;
+  std::optional<NamingSource> supersessionSource(WeightsVersion version) const;
 
  private:
   struct Naming {
-    /// When the version was named, at the latest.
+    /// The latest time at which the version can have been named.
     MonotonicTime since;
-    /// When this node heard of it.
-    MonotonicTime heardAt;
+    /// When this node learned of the naming.
+    MonotonicTime learnedAt;
     NamingSource source = NamingSource::kSeen;
   };
 
-  /// Versions below this one are not used from `end` on, as nothing is known of them.
-  WeightsVersion leastUncovered(MonotonicTime end, MonotonicTime now) const;
-  /// Newest version that was named for so long, as far as that is known.
+  /// Lowest version usable under the incomplete history: from `end` on, no version below
+  /// `coveredFrom_`, as nothing is known of those.
+  WeightsVersion leastWithIncompleteHistory(MonotonicTime end, MonotonicTime now) const;
+  /// Newest version known to have been named at least `term` ago.
   WeightsVersion newestNamedFor(Milliseconds term, MonotonicTime now) const;
-  /// Whether nothing is known of what came between `version` and the one that was found.
-  bool uncovered(WeightsVersion version) const { return version < coveredFrom_; }
+  /// Whether the namings between `version` and the discovered version are unknown.
+  bool historyIncomplete(WeightsVersion version) const { return version < coveredFrom_; }
   const Naming* successorOf(WeightsVersion version) const;
   /// @return whether the naming is new, or older than was known.
-  bool take(const fleet::WeightsNaming& told, MonotonicTime now);
+  bool mergeNaming(const fleet::WeightsNaming& received, MonotonicTime now);
   WeightsVersion floor() const {
     return floors_.empty() ? WeightsVersion() : floors_.rbegin()->first;
   }
 
-  /// Each floor, and when this node heard of it.
+  /// Each floor and when this node learned of it.
   std::map<WeightsVersion, MonotonicTime> floors_;
-  /// What this node does not use any more though it was never told when it was replaced.
-  WeightsVersion givenUp_;
+  /// Versions below this one are no longer used, although this node doesn't know when they were
+  /// replaced.
+  WeightsVersion abandonedBelow_;
   WeightsVersion coveredFrom_;
-  /// Until when versions below `coveredFrom_` are used, and when that was found.
-  UncoveredEnds ends_;
-  MonotonicTime foundAt_{};
+  /// Until when versions below `coveredFrom_` are used, and when that version was discovered.
+  IncompleteHistoryLimits incompleteLimits_;
+  MonotonicTime discoveredAt_{};
   std::map<WeightsVersion, Naming> namings_;
 };
 
--- a/src/weights/weights_loader.cc
+++ b/src/weights/weights_loader.cc
@@ -12,8 +12,8 @@
 namespace asio = boost::asio;
 using asio::awaitable;
 
-/// 0 where neither reports nor the list tell starts: then each start has an id of its own.
-Incarnation runOf(const forward::ServerReport& report) {
+/// 0 if neither reports nor the list contain starts; then each start has its own server id.
+Incarnation incarnationOf(const forward::ServerReport& report) {
   return report.started.value_or(Incarnation());
 }
 
@@ -54,7 +54,7 @@
 OrderAnswer answerOf(forward::OrderOutcome outcome) {
   switch (outcome) {
     case forward::OrderOutcome::kTaken:
-      return OrderAnswer::kTaken;
+      return OrderAnswer::kAccepted;
     case forward::OrderOutcome::kConflict:
       return OrderAnswer::kConflict;
     default:
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-/// The answers of one survey as they come in.
+/// Collects the answers of one survey.
 struct WeightsLoader::Survey {
   explicit Survey(const asio::any_io_executor& executor) : finished(executor) {}
   std::vector<orders::SurveyedEngine> engines;
@@ -91,7 +91,7 @@
   asio::co_spawn(executor_, run(), asio::detached);
 }
 
-bool WeightsLoader::behind(const fleet::Server& server) const {
+bool WeightsLoader::isOutdated(const fleet::Server& server) const {
   return !server.draining && std::any_of(server.models.begin(), server.models.end(),
                                          [this](const fleet::LoadedModel& loaded) {
                                            const auto newest = targets_.newest(loaded.model);
@@ -99,13 +99,14 @@
                                          });
 }
 
-bool WeightsLoader::due(const fleet::Server& server, MonotonicTime at, Milliseconds settle) const {
-  return behind(server) &&
-         std::any_of(server.models.begin(), server.models.end(),
-                     [this, at, settle](const fleet::LoadedModel& loaded) {
-                       const auto heardAt = targets_.successorHeardAt(loaded.model, loaded.weights);
-                       return heardAt && at - *heardAt >= settle;
-                     });
+bool WeightsLoader::isDue(const fleet::Server& server, MonotonicTime at,
+                          Milliseconds settle) const {
+  return isOutdated(server) && std::any_of(server.models.begin(), server.models.end(),
+                                           [this, at, settle](const fleet::LoadedModel& loaded) {
+                                             const auto learnedAt = targets_.successorLearnedAt(
+                                                 loaded.model, loaded.weights);
+                                             return learnedAt && at - *learnedAt >= settle;
+                                           });
 }
 
 Milliseconds WeightsLoader::settleTime() const {
@@ -113,7 +114,7 @@
 }
 
 bool WeightsLoader::needed() const {
-  return pool_.countIf([this](const fleet::Server& server) { return behind(server); }) > 0;
+  return pool_.countIf([this](const fleet::Server& server) { return isOutdated(server); }) > 0;
 }
 
 awaitable<void> WeightsLoader::run() {
@@ -138,23 +139,23 @@
 void WeightsLoader::onRestarted(const BackendId& server) {
   rounds_.onGone(server);
   orderCounts_.erase(server);
-  unusedReports_.erase(server);
+  unusableReports_.erase(server);
   wake();
 }
 
 awaitable<void> WeightsLoader::round(FencingToken token) {
-  if (token != tenure_) {
-    tenure_ = token;
+  if (token != leaseToken_) {
+    leaseToken_ = token;
     rounds_.clear();
     orderCounts_.clear();
-    unusedReports_.clear();
+    unusableReports_.clear();
     metrics_.countTenure();
     log::write(log::Level::kInfo, "lease_acquired", {{"token", std::to_string(token.value())}});
   }
   updateSchedule();
   announce();
   const std::vector<orders::SurveyedEngine> engines = co_await survey();
-  if (lease_.token() != tenure_) {
+  if (lease_.token() != leaseToken_) {
     co_return;
   }
   for (const orders::LoadOrder& order : rounds_.plan(goal(), engines, monotonicNow())) {
@@ -169,12 +170,12 @@
 
 void WeightsLoader::updateSchedule() {
   const MonotonicTime now = monotonicNow();
-  // The list shows what an order has come to sooner than the lagging report.
+  // The list shows the result of an order earlier than the delayed report.
   for (const BackendId& id : rounds_.ordered()) {
     const fleet::Server* server = pool_.find(id);
     if (server == nullptr) {
       rounds_.onGone(id);
-    } else if (!behind(*server)) {
+    } else if (!isOutdated(*server)) {
       rounds_.onLoaded(id, now);
     }
   }
@@ -242,31 +243,32 @@
   std::vector<fleet::Server> servers;
   for (fleet::Server& server : pool_.servers()) {
     const bool atRest = pool_.rests().excludedUntil(server.id, now).has_value();
-    if (!atRest && !rounds_.isOrdered(server.id) && due(server, at, settle)) {
+    if (!atRest && !rounds_.isOrdered(server.id) && isDue(server, at, settle)) {
       servers.push_back(std::move(server));
     }
   }
-  // The oldest first: a server that holds a version in between may wait while others hold none.
-  // Those that are unreachable, or whose reports are of no use, last.
+  // Servers with the oldest weights come first: a server with an intermediate version may wait
+  // while others are older. Servers that are unreachable or whose reports are unusable come last.
   const auto rank = [this, &unreachable](const fleet::Server& server) {
-    const bool silent = unreachable.contains(server.id) || unusedReports_.contains(server.id);
-    return std::pair(silent, oldestWeights(server));
+    const bool deprioritized =
+        unreachable.contains(server.id) || unusableReports_.contains(server.id);
+    return std::pair(deprioritized, oldestWeights(server));
   };
   std::stable_sort(servers.begin(), servers.end(),
-                   [&rank](const fleet::Server& one, const fleet::Server& two) {
-                     return rank(one) < rank(two);
+                   [&rank](const fleet::Server& left, const fleet::Server& right) {
+                     return rank(left) < rank(right);
                    });
   std::vector<DueServer> dueServers;
   dueServers.reserve(servers.size());
   for (const fleet::Server& server : servers) {
-    dueServers.push_back({server.id, expired(server), due(server, now, settle)});
+    dueServers.push_back({server.id, expired(server), isDue(server, now, settle)});
   }
   return dueServers;
 }
 
-std::vector<fleet::Server> WeightsLoader::serversToAsk() const {
+std::vector<fleet::Server> WeightsLoader::serversToSurvey() const {
   std::vector<fleet::Server> servers;
-  for (const BackendId& id : rounds_.toAsk(monotonicNow())) {
+  for (const BackendId& id : rounds_.serversToPoll(monotonicNow())) {
     const fleet::Server* server = pool_.find(id);
     if (server != nullptr) {
       servers.push_back(*server);
@@ -278,7 +280,7 @@
 awaitable<std::vector<orders::SurveyedEngine>> WeightsLoader::survey() {
   auto state = std::make_shared<Survey>(executor_);
   state->finished.expires_at(MonotonicTime::max());
-  for (const fleet::Server& server : serversToAsk()) {
+  for (const fleet::Server& server : serversToSurvey()) {
     for (const fleet::LoadedModel& loaded : server.models) {
       state->engines.push_back({server.id, loaded.model, server.draining, {}});
     }
@@ -287,7 +289,7 @@
     }
     ++state->outstanding;
     asio::co_spawn(executor_,
-                   surveyOne(state, state->engines.size() - server.models.size(), server),
+                   surveyServer(state, state->engines.size() - server.models.size(), server),
                    asio::detached);
   }
   while (state->outstanding > 0) {
@@ -296,38 +298,39 @@
   co_return state->engines;
 }
 
-awaitable<void> WeightsLoader::surveyOne(std::shared_ptr<Survey> survey, std::size_t index,
-                                         fleet::Server server) {
+awaitable<void> WeightsLoader::surveyServer(std::shared_ptr<Survey> survey, std::size_t index,
+                                            fleet::Server server) {
   http::Request query = protocol_.reportQuery(server);
-  const MonotonicTime askedAt = monotonicNow();
+  const MonotonicTime requestedAt = monotonicNow();
   const http::ExchangeOptions options = callOptions(settings_.callTimeout);
   Result<http::Response> answer =
       co_await calls_.exchange(server, std::move(query), options, forward::CallPurpose::kQuestion);
   Result<forward::ServerReport> report =
       answer ? protocol_.readReport(answer.value()) : answer.error();
   if (report) {
-    noteReport(*survey, index, server, report.value(), askedAt);
+    applyReport(*survey, index, server, report.value(), requestedAt);
   } else if (pool_.find(server.id) == nullptr) {
     rounds_.onGone(server.id);
   } else if (report.error().kind == ErrorKind::kConnectFailed) {
-    giveUp(server);
+    onServerUnreachable(server);
   } else if (answer && answer.value().status == http::kStatusOk) {
-    // A refusal passes; a document that can't be read will not change by itself.
-    noteUnusedReport(server.id, report.error().detail);
+    // A refusal is temporary; an unreadable document will not change by itself.
+    onUnusableReport(server.id, report.error().detail);
   }
   --survey->outstanding;
   survey->finished.cancel();
 }
 
-void WeightsLoader::giveUp(const fleet::Server& server) {
+void WeightsLoader::onServerUnreachable(const fleet::Server& server) {
   if (pool_.isCurrent(server)) {
     rounds_.onGone(server.id);
     pool_.markUnreachable(server.id, monotonicNow());
   }
 }
 
-bool WeightsLoader::placeReport(const fleet::Server& server, const forward::ServerReport& report) {
-  // The list may tell of a restart while the report is under way.
+bool WeightsLoader::checkReportedRun(const fleet::Server& server,
+                                     const forward::ServerReport& report) {
+  // The list may show a restart while the report is in flight.
   if (!pool_.isCurrent(server)) {
     return false;
   }
@@ -341,20 +344,20 @@
       pool_.applyRestart(server.id, *report.started, report.models, monotonicNow());
       return false;
     case fleet::RunOrder::kEarlier:
-      noteUnusedReport(server.id, "it tells an earlier start than is known");
+      onUnusableReport(server.id, "the reported start is earlier than the known start");
       return false;
     case fleet::RunOrder::kUnplaced:
-      noteUnusedReport(server.id, "it tells no start");
+      onUnusableReport(server.id, "the report has no start");
       return false;
   }
   return false;
 }
 
-void WeightsLoader::noteUnusedReport(const BackendId& server, const std::string& cause) {
+void WeightsLoader::onUnusableReport(const BackendId& server, const std::string& cause) {
   if (!rounds_.isOrdered(server)) {
     rounds_.onGone(server);
   }
-  std::string& last = unusedReports_[server];
+  std::string& last = unusableReports_[server];
   if (last == cause) {
     return;
   }
@@ -362,18 +365,18 @@
   log::write(log::Level::kWarning, "report_unused", {{"server", server.value()}, {"cause", cause}});
 }
 
-void WeightsLoader::noteReport(Survey& survey, std::size_t index, const fleet::Server& server,
-                               const forward::ServerReport& report, MonotonicTime askedAt) {
-  if (!placeReport(server, report)) {
+void WeightsLoader::applyReport(Survey& survey, std::size_t index, const fleet::Server& server,
+                                const forward::ServerReport& report, MonotonicTime requestedAt) {
+  if (!checkReportedRun(server, report)) {
     return;
   }
-  unusedReports_.erase(server.id);
-  orderCounts_[server.id] = {runOf(report), report.orderCount};
-  bool behindStill = false;
+  unusableReports_.erase(server.id);
+  orderCounts_[server.id] = {incarnationOf(report), report.orderCount};
+  bool stillOutdated = false;
   for (const fleet::LoadedModel& loaded : report.models) {
     pool_.applyWeights(server.id, loaded.model, loaded.weights, monotonicNow());
     const auto newest = targets_.newest(loaded.model);
-    behindStill = behindStill || (newest && loaded.weights < *newest);
+    stillOutdated = stillOutdated || (newest && loaded.weights < *newest);
     const orders::EngineReport found = engineReport(server, report, loaded);
     for (std::size_t at = index; at < index + server.models.size(); ++at) {
       if (survey.engines[at].model == loaded.model) {
@@ -381,8 +384,10 @@
       }
     }
   }
-  rounds_.onReport(server.id, {runOf(report), report.orderCount, report.busy, behindStill, askedAt},
-                   monotonicNow());
+  rounds_.onReport(
+      server.id,
+      {incarnationOf(report), report.orderCount, report.busy, stillOutdated, requestedAt},
+      monotonicNow());
 }
 
 orders::EngineReport WeightsLoader::engineReport(const fleet::Server& server,
@@ -391,7 +396,7 @@
   orders::EngineReport engine;
   engine.id = server.id;
   engine.model = loaded.model;
-  engine.incarnation = runOf(report);
+  engine.incarnation = incarnationOf(report);
   engine.weights = loaded.weights;
   engine.accepting = !report.busy;
   if (report.busy) {
@@ -429,28 +434,28 @@
   Result<http::Response> answer =
       co_await calls_.exchange(server, std::move(request), options, forward::CallPurpose::kOrder);
   std::string outcome = "lost";
-  OrderAnswer told = OrderAnswer::kLost;
+  OrderAnswer orderAnswer = OrderAnswer::kLost;
   if (answer) {
-    const forward::OrderOutcome read = protocol_.readOrderAnswer(answer.value());
-    outcome = nameOf(read);
-    told = answerOf(read);
-    if (read == forward::OrderOutcome::kFenced) {
+    const forward::OrderOutcome orderOutcome = protocol_.readOrderAnswer(answer.value());
+    outcome = nameOf(orderOutcome);
+    orderAnswer = answerOf(orderOutcome);
+    if (orderOutcome == forward::OrderOutcome::kFenced) {
       lease_.onFenced(token);
     }
-    if (read == forward::OrderOutcome::kAnotherServer) {
-      giveUp(server);
+    if (orderOutcome == forward::OrderOutcome::kAnotherServer) {
+      onServerUnreachable(server);
     }
   } else if (answer.error().kind == ErrorKind::kServerWithdrawn) {
     outcome = "not_sent";
-    told = OrderAnswer::kRefused;
+    orderAnswer = OrderAnswer::kRefused;
   } else if (answer.error().kind == ErrorKind::kConnectFailed) {
     outcome = "not_sent";
-    told = OrderAnswer::kRefused;
-    giveUp(server);
+    orderAnswer = OrderAnswer::kRefused;
+    onServerUnreachable(server);
   }
-  // What became of an order to a run that another has replaced says nothing of that one.
+  // The outcome of an order to a replaced run says nothing about the current one.
   if (pool_.isCurrent(server)) {
-    rounds_.onAnswer(order.engine, told);
+    rounds_.onAnswer(order.engine, orderAnswer);
   }
   metrics_.countOrder("load_version", outcome);
   log::write(log::Level::kInfo, "weights_ordered",
--- a/src/weights/weights_targets.cc
+++ b/src/weights/weights_targets.cc
@@ -5,30 +5,30 @@
 namespace calicodrift::weights {
 
 void WeightsTargets::name(const ModelId& model, WeightsVersion version, MonotonicTime now,
-                          Milliseconds late) {
-  histories_[model].name(version, now, late);
+                          Milliseconds maxDelay) {
+  histories_[model].addObserved(version, now, maxDelay);
 }
 
 void WeightsTargets::find(const ModelId& model, WeightsVersion version, MonotonicTime provenAt,
                           MonotonicTime now) {
-  const Milliseconds foundTerm = std::min(kFoundTerm, terms_.send / 2);
+  const Milliseconds discoveredTerm = std::min(kFoundTerm, terms_.send / 2);
   const bool watchedBefore = provenAt != MonotonicTime{};
-  const MonotonicTime foundEnd = startedAt_ + foundTerm;
-  UncoveredEnds ends{foundEnd, foundEnd, foundEnd - terms_.send};
+  const MonotonicTime discoveredEnd = startedAt_ + discoveredTerm;
+  IncompleteHistoryLimits limits{discoveredEnd, discoveredEnd, discoveredEnd - terms_.send};
   if (watchedBefore) {
-    ends.send = std::max(provenAt + terms_.send, now + foundTerm);
-    ends.wait = std::max(provenAt + terms_.wait, now + foundTerm);
-    ends.since = provenAt;
+    limits.send = std::max(provenAt + terms_.send, now + discoveredTerm);
+    limits.wait = std::max(provenAt + terms_.wait, now + discoveredTerm);
+    limits.since = provenAt;
   }
-  histories_[model].find(version, ends, now);
+  histories_[model].addDiscovered(version, limits, now);
 }
 
 bool WeightsTargets::learn(const std::vector<fleet::NamedWeights>& named, MonotonicTime now) {
   bool changed = false;
-  for (const fleet::NamedWeights& told : named) {
-    const auto history = histories_.find(told.model);
+  for (const fleet::NamedWeights& received : named) {
+    const auto history = histories_.find(received.model);
     if (history != histories_.end()) {
-      changed = history->second.learn(told, now) || changed;
+      changed = history->second.merge(received, now) || changed;
     }
   }
   return changed;
@@ -40,13 +40,13 @@
 }
 
 std::vector<fleet::NamedWeights> WeightsTargets::known(MonotonicTime now) const {
-  std::vector<fleet::NamedWeights> told;
+  std::vector<fleet::NamedWeights> received;
   for (const auto& [model, history] : histories_) {
-    if (auto named = history.known(model, terms_, now)) {
-      told.push_back(std::move(*named));
+    if (auto named = history.exportNamings(model, terms_, now)) {
+      received.push_back(std::move(*named));
     }
   }
-  return told;
+  return received;
 }
 
 std::optional<WeightsVersion> WeightsTargets::newest(const ModelId& model) const {
@@ -59,23 +59,23 @@
 
 WeightsVersion WeightsTargets::least(const ModelId& model, MonotonicTime now) const {
   const WeightsHistory* history = historyOf(model);
-  return history == nullptr ? WeightsVersion() : history->least(terms_, now);
+  return history == nullptr ? WeightsVersion() : history->leastSendable(terms_, now);
 }
 
 WeightsVersion WeightsTargets::leastWaiting(const ModelId& model, MonotonicTime now) const {
   const WeightsHistory* history = historyOf(model);
-  return history == nullptr ? WeightsVersion() : history->leastWaiting(terms_, now);
+  return history == nullptr ? WeightsVersion() : history->leastWaitable(terms_, now);
 }
 
 WeightsVersion WeightsTargets::certainLeast(const ModelId& model, MonotonicTime now) const {
   const WeightsHistory* history = historyOf(model);
-  return history == nullptr ? WeightsVersion() : history->certainLeast(terms_, now);
+  return history == nullptr ? WeightsVersion() : history->confirmedLeast(terms_, now);
 }
 
 std::optional<MonotonicTime> WeightsTargets::nextEnd(MonotonicTime now) const {
   std::optional<MonotonicTime> next;
   for (const auto& [model, history] : histories_) {
-    if (const auto end = history.nextEnd(terms_, now)) {
+    if (const auto end = history.nextExpiry(terms_, now)) {
       next = std::min(*end, next.value_or(*end));
     }
   }
@@ -88,16 +88,16 @@
   return history == nullptr ? std::nullopt : history->outdatedSince(version);
 }
 
-std::optional<MonotonicTime> WeightsTargets::successorHeardAt(const ModelId& model,
-                                                              WeightsVersion version) const {
+std::optional<MonotonicTime> WeightsTargets::successorLearnedAt(const ModelId& model,
+                                                                WeightsVersion version) const {
   const WeightsHistory* history = historyOf(model);
-  return history == nullptr ? std::nullopt : history->outdatedHeardAt(version);
+  return history == nullptr ? std::nullopt : history->supersessionLearnedAt(version);
 }
 
 std::optional<NamingSource> WeightsTargets::successorSource(const ModelId& model,
                                                             WeightsVersion version) const {
   const WeightsHistory* history = historyOf(model);
-  return history == nullptr ? std::nullopt : history->outdatedBy(version);
+  return history == nullptr ? std::nullopt : history->supersessionSource(version);
 }
 
 std::vector<ModelId> WeightsTargets::models() const {
--- a/tests/weights/late_orders_test.cc
+++ b/tests/weights/late_orders_test.cc
@@ -20,9 +20,9 @@
 constexpr Milliseconds kAnswerTimeout{250};
 constexpr Milliseconds kReportAge{200};
 constexpr Milliseconds kLoadTime{640};
-/// Servers may be ordered so long after the naming.
+/// Servers may be ordered at the earliest this long after the naming.
 constexpr Milliseconds kSettleTime{1000};
-/// Then no node sends requests to older weights any more, so that nobody is told of a load.
+/// From then on no node sends requests to older weights, so loads are not announced.
 constexpr Milliseconds kTerm{6000};
 /// No request may begin on older weights from then on.
 constexpr Milliseconds kBound{8000};
@@ -31,38 +31,37 @@
 struct Outcome {
   std::size_t orders = 0;
   std::size_t loads = 0;
-  /// Servers on older weights after half as much again as the bound.
-  std::size_t behind = 0;
-  /// When no more than one in ten servers was on older weights.
-  Milliseconds nearlyAll = kEnd;
+  /// Servers on older weights at 1.5 times the bound.
+  std::size_t outdated = 0;
+  /// When at most one in ten servers was left on older weights.
+  Milliseconds mostUpdatedAt = kEnd;
   std::size_t peakLoading = 0;
-  /// Orders to a server while as many as may load at once were loading as far as answers and
-  /// reports told.
+  /// Orders sent while answers and reports showed the maximum number of concurrent loads.
   std::size_t ordersBeyondCap = 0;
-  /// Time in which servers were passed over by other nodes though they did not load, of all.
-  Milliseconds idle{0};
-  /// Requests for reports.
-  std::size_t asked = 0;
+  /// Total time in which other nodes avoided servers that did not load.
+  Milliseconds falselyReserved{0};
+  /// Number of report requests.
+  std::size_t polls = 0;
 };
 
-/// What goes wrong.
-struct Trouble {
-  /// Share of the orders that get no answer and are carried out 2 to 12 s later, if their condition
-  /// holds then.
+/// Injected faults.
+struct Faults {
+  /// Ratio of orders that get no answer and are executed 2 to 12 s later if their condition holds
+  /// then.
   double late = 0;
-  /// Share of the orders that are carried out at once, but whose answer is lost.
+  /// Ratio of orders that are executed immediately but whose answer is lost.
   double unanswered = 0;
-  /// Servers that take connections and answer nothing.
-  std::size_t silent = 0;
-  /// No order is late from then on.
+  /// Number of servers that accept connections but never answer.
+  std::size_t unresponsive = 0;
+  /// No order is delayed from then on.
   Milliseconds lateUntil = kEnd;
 };
 
-/// A roll-out in virtual time, with what WeightsLoader does between the calls.
-class Play {
+/// Simulates a roll-out in virtual time, including what WeightsLoader does between the calls.
+class RolloutSimulation {
  public:
-  Play(Trouble trouble, std::uint64_t seed)
-      : trouble_(trouble), random_(seed), rounds_(LoadRoundsSettings{}) {
+  RolloutSimulation(Faults faults, std::uint64_t seed)
+      : faults_(faults), random_(seed), rounds_(LoadRoundsSettings{}) {
     servers_.resize(kServers);
   }
 
@@ -96,11 +95,11 @@
     std::optional<MonotonicTime> loadEnd;
     std::vector<LateOrder> lateOrders;
     std::deque<Report> reports;
-    /// By the list or a report.
+    /// As shown by the list or a report.
     WeightsVersion known = kOld;
     std::optional<MonotonicTime> listed;
     std::uint64_t knownCount = 0;
-    /// As answers and reports tell.
+    /// As shown by answers and reports.
     bool knownLoading = false;
   };
   struct Answer {
@@ -124,7 +123,7 @@
     return std::uniform_int_distribution<int>(least, most)(random_);
   }
 
-  OrderAnswer take(Server& server, std::uint64_t expected) {
+  OrderAnswer acceptOrder(Server& server, std::uint64_t expected) {
     if (server.loadEnd || server.orderCount != expected) {
       return OrderAnswer::kConflict;
     }
@@ -133,10 +132,10 @@
     }
     ++server.orderCount;
     ++outcome_.loads;
-    // Loads share their source: more at once take longer.
+    // Loads share their source, so more concurrent loads take longer.
     const auto share = std::max<std::size_t>(1, (loading() + kCap) / kCap);
     server.loadEnd = now_ + kLoadTime * static_cast<int>(share);
-    return OrderAnswer::kTaken;
+    return OrderAnswer::kAccepted;
   }
 
   void advance() {
@@ -148,7 +147,7 @@
       }
       for (const LateOrder& order : server.lateOrders) {
         if (order.arrival <= now_) {
-          take(server, order.expected);
+          acceptOrder(server, order.expected);
         }
       }
       std::erase_if(server.lateOrders,
@@ -167,7 +166,7 @@
   void answer() {
     for (const Answer& answer : answers_) {
       if (answer.at <= now_) {
-        serverOf(answer.server).knownLoading = answer.answer == OrderAnswer::kTaken;
+        serverOf(answer.server).knownLoading = answer.answer == OrderAnswer::kAccepted;
         rounds_.onAnswer(answer.server, answer.answer);
       }
     }
@@ -187,8 +186,8 @@
     return due;
   }
 
-  orders::SurveyedEngine ask(const BackendId& id) {
-    if (&serverOf(id) < servers_.data() + trouble_.silent) {
+  orders::SurveyedEngine poll(const BackendId& id) {
+    if (&serverOf(id) < servers_.data() + faults_.unresponsive) {
       return {id, kModel, false, {}};
     }
     Server& server = serverOf(id);
@@ -219,9 +218,9 @@
     }
     rounds_.update(dueServers(), kCap, now_);
     std::vector<orders::SurveyedEngine> engines;
-    for (const BackendId& id : rounds_.toAsk(now_)) {
-      engines.push_back(ask(id));
-      ++outcome_.asked;
+    for (const BackendId& id : rounds_.serversToPoll(now_)) {
+      engines.push_back(poll(id));
+      ++outcome_.polls;
     }
     orders::RolloutGoal goal;
     goal.maxConcurrentLoads = kCap;
@@ -237,13 +236,13 @@
     outcome_.ordersBeyondCap += known >= kCap ? 1 : 0;
     ++outcome_.orders;
     Server& server = serverOf(id);
-    if (now_ < kStart + trouble_.lateUntil && chance(trouble_.late)) {
+    if (now_ < kStart + faults_.lateUntil && chance(faults_.late)) {
       server.lateOrders.push_back({now_ + Milliseconds(uniform(2000, 12'000)), server.knownCount});
       answers_.push_back({now_ + kAnswerTimeout, id, OrderAnswer::kLost});
       return;
     }
-    const OrderAnswer answer = take(server, server.knownCount);
-    if (chance(trouble_.unanswered)) {
+    const OrderAnswer answer = acceptOrder(server, server.knownCount);
+    if (chance(faults_.unanswered)) {
       answers_.push_back({now_ + kAnswerTimeout, id, OrderAnswer::kLost});
     } else {
       answers_.push_back({now_ + kStep, id, answer});
@@ -251,24 +250,24 @@
   }
 
   void observe() {
-    const auto behind = static_cast<std::size_t>(std::count_if(
+    const auto outdated = static_cast<std::size_t>(std::count_if(
         servers_.begin(), servers_.end(), [](const Server& s) { return s.weights == kOld; }));
-    if (behind * 10 <= kServers && outcome_.nearlyAll == kEnd) {
-      outcome_.nearlyAll = std::chrono::duration_cast<Milliseconds>(now_ - kStart);
+    if (outdated * 10 <= kServers && outcome_.mostUpdatedAt == kEnd) {
+      outcome_.mostUpdatedAt = std::chrono::duration_cast<Milliseconds>(now_ - kStart);
     }
     if (now_ == kStart + kBound * 3 / 2) {
-      outcome_.behind = behind;
+      outcome_.outdated = outdated;
     }
     outcome_.peakLoading = std::max(outcome_.peakLoading, loading());
     for (const BackendId& id : rounds_.reserved()) {
       const Server& server = serverOf(id);
       if (!server.loadEnd && server.weights == kOld && now_ < kStart + kTerm) {
-        outcome_.idle += kStep;
+        outcome_.falselyReserved += kStep;
       }
     }
   }
 
-  Trouble trouble_;
+  Faults faults_;
   std::mt19937_64 random_;
   LoadRounds rounds_;
   std::vector<Server> servers_;
@@ -279,103 +278,105 @@
 };
 
 struct Summary {
-  /// Plays with more than one server in ten on older weights after half as much again as the bound.
+  /// Simulations with more than one in ten servers on older weights at 1.5 times the bound.
   std::size_t unfinished = 0;
   std::size_t ordersBeyondCap = 0;
   std::size_t peakLoading = 0;
-  std::size_t mostLoads = 0;
-  /// Means.
+  std::size_t maxLoadOrders = 0;
+  /// Means over all simulations.
   double orders = 0;
-  double nearlyAllMs = 0;
-  double idleMs = 0;
-  double asked = 0;
+  double mostUpdatedMs = 0;
+  double falselyReservedMs = 0;
+  double polls = 0;
   double meanPeak = 0;
 };
 
-Summary playAll(const Trouble& trouble) {
+Summary simulateAll(const Faults& faults) {
   constexpr std::uint64_t kSeeds = 100;
   Summary sum;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    const Outcome outcome = Play(trouble, seed).run();
-    sum.unfinished += outcome.behind * 10 > kServers ? 1 : 0;
+    const Outcome outcome = RolloutSimulation(faults, seed).run();
+    sum.unfinished += outcome.outdated * 10 > kServers ? 1 : 0;
     sum.ordersBeyondCap += outcome.ordersBeyondCap;
     sum.peakLoading = std::max(sum.peakLoading, outcome.peakLoading);
-    sum.mostLoads = std::max(sum.mostLoads, outcome.loads);
+    sum.maxLoadOrders = std::max(sum.maxLoadOrders, outcome.loads);
     sum.orders += static_cast<double>(outcome.orders) / kSeeds;
-    sum.nearlyAllMs += static_cast<double>(outcome.nearlyAll.count()) / kSeeds;
-    sum.idleMs += static_cast<double>(outcome.idle.count()) / kSeeds;
-    sum.asked += static_cast<double>(outcome.asked) / kSeeds;
+    sum.mostUpdatedMs += static_cast<double>(outcome.mostUpdatedAt.count()) / kSeeds;
+    sum.falselyReservedMs += static_cast<double>(outcome.falselyReserved.count()) / kSeeds;
+    sum.polls += static_cast<double>(outcome.polls) / kSeeds;
     sum.meanPeak += static_cast<double>(outcome.peakLoading) / kSeeds;
   }
-  BOOST_TEST_MESSAGE("late " << trouble.late << ", unanswered " << trouble.unanswered << ", silent "
-                             << trouble.silent << ": unfinished " << sum.unfinished << ", orders "
-                             << sum.orders << ", nearly all after " << sum.nearlyAllMs
-                             << " ms, passed over " << sum.idleMs << " ms, asked " << sum.asked
-                             << ", peak " << sum.peakLoading << " (" << sum.meanPeak
+  BOOST_TEST_MESSAGE("late " << faults.late << ", unanswered " << faults.unanswered
+                             << ", unresponsive " << faults.unresponsive << ": unfinished "
+                             << sum.unfinished << ", orders " << sum.orders
+                             << ", 90% updated after " << sum.mostUpdatedMs
+                             << " ms, falsely reserved " << sum.falselyReservedMs << " ms, polls "
+                             << sum.polls << ", peak " << sum.peakLoading << " (" << sum.meanPeak
                              << "), beyond cap " << sum.ordersBeyondCap);
   return sum;
 }
 
 BOOST_AUTO_TEST_SUITE(late_orders)
 
-/// What a roll-out took when the first servers were ordered again and again until one answered:
-/// means of 100 plays. With all orders late, no play came to its end in time then.
-struct Repeated {
+/// Results of an earlier strategy that repeated the orders to the first servers until one answered:
+/// means of 100 simulations. With all orders delayed, none of them finished in time.
+struct RepeatedOrdersBaseline {
   double late;
   double orders;
-  double nearlyAllMs;
-  /// Plays that may end late now: where an order comes 12 s late, no way is in time for certain.
+  double mostUpdatedMs;
+  /// Simulations that may finish late now: if an order arrives 12 s late, no strategy can guarantee
+  /// to be in time.
   std::size_t unfinished;
 };
-constexpr std::array<Repeated, 3> kRepeated{
+constexpr std::array<RepeatedOrdersBaseline, 3> kRepeatedOrdersBaselines{
     {{0.35, 18.6, 7236, 0}, {0.6, 31.5, 9201, 0}, {1.0, 149.7, 29'778, 5}}};
 
-BOOST_AUTO_TEST_CASE(lostAnswersHoldUpNoOtherServer) {
-  for (const Repeated& repeated : kRepeated) {
-    Trouble trouble;
-    trouble.late = repeated.late;
-    const Summary sum = playAll(trouble);
-    BOOST_TEST(sum.unfinished <= repeated.unfinished);
-    BOOST_TEST(sum.orders <= repeated.orders);
-    // A share of late orders that repeating gets over costs no more than 3%.
-    BOOST_TEST(sum.nearlyAllMs <= repeated.nearlyAllMs * 1.03);
-    // An order was given only where no more loaded than may, by what answers and reports told; and
-    // no server carried out two.
+BOOST_AUTO_TEST_CASE(lostAnswersDoNotDelayOtherServers) {
+  for (const RepeatedOrdersBaseline& baseline : kRepeatedOrdersBaselines) {
+    Faults faults;
+    faults.late = baseline.late;
+    const Summary sum = simulateAll(faults);
+    BOOST_TEST(sum.unfinished <= baseline.unfinished);
+    BOOST_TEST(sum.orders <= baseline.orders);
+    // At delay ratios that repeating copes with, the roll-out takes at most 3% longer.
+    BOOST_TEST(sum.mostUpdatedMs <= baseline.mostUpdatedMs * 1.03);
+    // No order was sent while answers and reports showed the maximum number of loads, and no server
+    // executed two orders.
     BOOST_TEST(sum.ordersBeyondCap == 0U);
-    BOOST_TEST(sum.mostLoads == kServers);
+    BOOST_TEST(sum.maxLoadOrders == kServers);
   }
 }
 
-BOOST_AUTO_TEST_CASE(withoutTroubleEachServerIsOrderedOnceWithinTheCap) {
-  const Summary sum = playAll({});
+BOOST_AUTO_TEST_CASE(withoutFaultsEachServerIsOrderedOnceWithinTheCap) {
+  const Summary sum = simulateAll({});
   BOOST_TEST(sum.orders == static_cast<double>(kServers), boost::test_tools::tolerance(1e-9));
   BOOST_TEST(sum.peakLoading == kCap);
-  BOOST_TEST(sum.nearlyAllMs <= 6640 * 1.001);
+  BOOST_TEST(sum.mostUpdatedMs <= 6640 * 1.001);
 }
 
-BOOST_AUTO_TEST_CASE(anOrderWhoseAnswerIsLostHoldsItsPlaceWhileItsServerLoads) {
-  Trouble trouble;
-  trouble.unanswered = 1.0;
-  const Summary sum = playAll(trouble);
+BOOST_AUTO_TEST_CASE(orderWithLostAnswerHoldsItsSlotWhileItsServerLoads) {
+  Faults faults;
+  faults.unanswered = 1.0;
+  const Summary sum = simulateAll(faults);
   BOOST_TEST(sum.unfinished == 0U);
   BOOST_TEST(sum.peakLoading == kCap);
-  BOOST_TEST(sum.mostLoads == kServers);
+  BOOST_TEST(sum.maxLoadOrders == kServers);
 }
 
-BOOST_AUTO_TEST_CASE(whenOrdersComeInTimeAgainNoMoreLoadAtOnceThanOneRoundMayOrder) {
-  Trouble trouble;
-  trouble.late = 1.0;
-  trouble.lateUntil = Milliseconds(4000);
-  const Summary sum = playAll(trouble);
+BOOST_AUTO_TEST_CASE(afterOrderDelaysEndNoOrderExceedsTheCap) {
+  Faults faults;
+  faults.late = 1.0;
+  faults.lateUntil = Milliseconds(4000);
+  const Summary sum = simulateAll(faults);
   BOOST_TEST(sum.unfinished == 0U);
   BOOST_TEST(sum.ordersBeyondCap == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(silentServersHoldUpNoOther) {
-  Trouble trouble;
-  trouble.silent = kCap;
-  const Summary sum = playAll(trouble);
-  BOOST_TEST(sum.mostLoads == kServers - kCap);
+BOOST_AUTO_TEST_CASE(unresponsiveServersDoNotDelayOthers) {
+  Faults faults;
+  faults.unresponsive = kCap;
+  const Summary sum = simulateAll(faults);
+  BOOST_TEST(sum.maxLoadOrders == kServers - kCap);
   BOOST_TEST(sum.peakLoading == kCap);
 }
 
--- a/tests/weights/load_schedule_test.cc
+++ b/tests/weights/load_schedule_test.cc
@@ -31,17 +31,17 @@
 
 BOOST_FIXTURE_TEST_SUITE(load_schedule, ScheduleFixture)
 
-BOOST_AUTO_TEST_CASE(aServerIsOrderedOnlyAfterTheLead) {
+BOOST_AUTO_TEST_CASE(serverIsOrderedOnlyAfterTheLead) {
   schedule.update(busy({kA, kB, kC}), 2, kStart);
   BOOST_TEST((schedule.reserved() == std::set{kA, kB}));
   BOOST_TEST(!schedule.mayOrder(kA, after(499)));
   BOOST_TEST(schedule.mayOrder(kA, after(500)));
-  // Never announced, so never ordered.
+  // It was never announced, so it may never be ordered.
   BOOST_TEST(!schedule.mayOrder(kC, after(5000)));
 }
 
-/// As where it started again: the others were told of what it was before.
-BOOST_AUTO_TEST_CASE(aWithdrawnAnnouncementBeginsAnew) {
+/// For example after a restart: other nodes were informed about the earlier run.
+BOOST_AUTO_TEST_CASE(withdrawnAnnouncementRestartsItsLead) {
   schedule.update(busy({kA}), 2, kStart);
   schedule.onGone(kA);
   schedule.update(busy({kA}), 2, after(400));
@@ -49,11 +49,11 @@
   BOOST_TEST(schedule.mayOrder(kA, after(900)));
 }
 
-BOOST_AUTO_TEST_CASE(theNextAreAnnouncedWhileOthersLoadSoThatNoPlaceStaysIdle) {
+BOOST_AUTO_TEST_CASE(nextServersAreAnnouncedDuringLoadsSoThatNoSlotStaysIdle) {
   schedule.update(busy({kA, kB, kC, kD}), 2, kStart);
   schedule.onOrdered(kA, after(500));
   schedule.onOrdered(kB, after(500));
-  // A load takes 800 ms and the lead 500: a place is given on after 300.
+  // A load takes 800 ms and the lead is 500 ms, so a slot becomes free after 300 ms.
   schedule.update(busy({kC, kD}), 2, after(799));
   BOOST_TEST((schedule.reserved() == std::set{kA, kB}));
   schedule.update(busy({kC, kD}), 2, after(800));
@@ -61,7 +61,7 @@
   BOOST_TEST(schedule.mayOrder(kC, after(1300)));
 }
 
-BOOST_AUTO_TEST_CASE(noMoreThanTheRoomAreAnnouncedAtOnce) {
+BOOST_AUTO_TEST_CASE(announcementsNeverExceedTheLimit) {
   schedule.update(busy({kA, kB, kC, kD}), 2, kStart);
   schedule.update(busy({kA, kB, kC, kD}), 2, after(100));
   BOOST_TEST(schedule.reserved().size() == 2U);
@@ -70,7 +70,7 @@
   BOOST_TEST((schedule.reserved() == std::set{kA, kB}));
 }
 
-BOOST_AUTO_TEST_CASE(theTimeOfLoadsIsLearnt) {
+BOOST_AUTO_TEST_CASE(loadTimeIsEstimatedFromPastLoads) {
   for (int turn = 0; turn < 20; ++turn) {
     const MonotonicTime begin = after(turn * 10'000);
     schedule.onOrdered(kA, begin);
@@ -78,7 +78,7 @@
   }
   BOOST_TEST(schedule.loadTime() > Milliseconds(1900));
   BOOST_TEST(schedule.loadTime() <= Milliseconds(2000));
-  // The next server is announced as much later.
+  // The next server is announced correspondingly later.
   const MonotonicTime begin = after(300'000);
   schedule.onOrdered(kA, begin);
   schedule.update(busy({kB}), 1, begin + Milliseconds(1300));
@@ -87,13 +87,13 @@
   BOOST_TEST((schedule.reserved() == std::set{kA, kB}));
 }
 
-BOOST_AUTO_TEST_CASE(aServerThatIsNoLongerDueIsNoLongerAnnounced) {
+BOOST_AUTO_TEST_CASE(serverNoLongerDueIsNoLongerAnnounced) {
   schedule.update(busy({kA, kB}), 2, kStart);
   schedule.update(busy({kB, kC}), 2, after(100));
   BOOST_TEST((schedule.reserved() == std::set{kB, kC}));
 }
 
-BOOST_AUTO_TEST_CASE(aServerThatIsGoneGivesItsPlaceOnAndTeachesNothing) {
+BOOST_AUTO_TEST_CASE(removedServerReleasesItsSlotAndLeavesTheEstimateUnchanged) {
   schedule.onOrdered(kA, kStart);
   schedule.onGone(kA);
   schedule.update(busy({kB}), 1, after(1));
@@ -101,8 +101,8 @@
   BOOST_TEST(schedule.loadTime() == Milliseconds(800));
 }
 
-BOOST_AUTO_TEST_CASE(aServerThatIsSeenToLoadHoldsAPlaceAndTeachesNothing) {
-  schedule.onSeenLoading(kA, kStart);
+BOOST_AUTO_TEST_CASE(observedLoadHoldsASlotAndLeavesTheEstimateUnchanged) {
+  schedule.onLoadObserved(kA, kStart);
   schedule.update(busy({kB}), 1, after(1));
   BOOST_TEST((schedule.reserved() == std::set{kA}));
   schedule.onLoaded(kA, after(100));
@@ -111,7 +111,7 @@
   BOOST_TEST((schedule.reserved() == std::set{kB}));
 }
 
-BOOST_AUTO_TEST_CASE(anotherOrderGiverStartsAnew) {
+BOOST_AUTO_TEST_CASE(clearRemovesAnnouncementsAndOrders) {
   schedule.update(busy({kA}), 2, kStart);
   schedule.onOrdered(kB, kStart);
   schedule.clear();
@@ -119,11 +119,11 @@
   BOOST_TEST(schedule.ordered().empty());
 }
 
-BOOST_AUTO_TEST_CASE(aServerWithoutWorkIsOrderedAtOnce) {
+BOOST_AUTO_TEST_CASE(serverWithoutWorkIsOrderedImmediately) {
   schedule.update({{kA, true}, {kB, false}}, 2, kStart);
   BOOST_TEST(schedule.mayOrder(kA, kStart));
   BOOST_TEST(!schedule.mayOrder(kB, kStart));
-  // Its weights run out while it waits for the lead.
+  // Its weights expire during the lead.
   schedule.update({{kB, true}}, 2, after(100));
   BOOST_TEST(schedule.mayOrder(kB, after(100)));
 }
--- a/tests/weights/weights_history_random_test.cc
+++ b/tests/weights/weights_history_random_test.cc
@@ -1,5 +1,6 @@
-// Several nodes over one store: versions are named, nodes restart, miss changes, list anew and tell
-// each other late. What each uses is held against the true times of the namings.
+// Randomized schedules of several nodes sharing a store: versions are named while nodes restart,
+// miss changes, list anew and exchange state with delays. The versions each node uses are compared
+// with the true times of the namings.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -19,16 +20,17 @@
 constexpr WeightsTerms kTerms{Milliseconds(6000), Milliseconds(7500)};
 constexpr MonotonicTime kOrigin{std::chrono::hours(1)};
 constexpr Milliseconds kStep{50};
-constexpr Milliseconds kLength{40'000};
-/// A change heard later than this after the last proof counts as found; as in the gateway.
-constexpr Milliseconds kLate{1250};
-/// A node hears of a naming, and a message arrives, at most so late.
-constexpr Milliseconds kLongestWay{100};
-constexpr Milliseconds kLongestMessage{400};
-constexpr Milliseconds kLongestInterval{800};
-/// A naming in a change counts from when it is heard, at most kLate late, and what is told from
-/// when it arrives.
-constexpr Milliseconds kExcess = kLate + kLongestWay + kLongestMessage + 2 * kStep;
+constexpr Milliseconds kDuration{40'000};
+/// A change received later than this after the last proof counts as discovered, as in the gateway.
+constexpr Milliseconds kDiscoveryThreshold{1250};
+/// Maximum delays until a node learns of a naming and until a message arrives.
+constexpr Milliseconds kMaxReadDelay{100};
+constexpr Milliseconds kMaxMessageDelay{400};
+constexpr Milliseconds kMaxBroadcastInterval{800};
+/// A naming in a change counts from when it is received, at most kDiscoveryThreshold late, and a
+/// reported age from when the message arrives.
+constexpr Milliseconds kTolerance =
+    kDiscoveryThreshold + kMaxReadDelay + kMaxMessageDelay + 2 * kStep;
 
 struct Node {
   std::optional<WeightsTargets> targets;
@@ -36,46 +38,48 @@
   MonotonicTime readsFrom;
   MonotonicTime provenAt{};
   /// Since when the view has been proven without a gap.
-  MonotonicTime steadySince{};
-  /// When it last found a version, of which others have to tell it.
-  MonotonicTime foundAt{};
-  MonotonicTime cutUntil{};
-  MonotonicTime tellsAt;
-  unsigned life = 0;
+  MonotonicTime provenSince{};
+  /// When it last discovered a version, whose age other nodes have to report to it.
+  MonotonicTime discoveredAt{};
+  MonotonicTime disconnectedUntil{};
+  MonotonicTime nextBroadcastAt;
+  unsigned incarnation = 0;
 };
 
 struct Message {
   MonotonicTime at;
   std::size_t to;
-  unsigned life;
+  unsigned incarnation;
   std::vector<fleet::NamedWeights> named;
 };
 
 class Schedule {
  public:
-  /// @param watched the first node neither restarts nor lists anew nor misses more than a version
-  /// that the next one replaced at once.
-  Schedule(std::uint64_t seed, bool watched) : random_(seed), watched_(watched) {
-    records_ = any(2) == 0;
+  /// @param firstNodeStable the first node neither restarts nor lists anew, and misses only
+  /// versions that the next one replaced immediately.
+  Schedule(std::uint64_t seed, bool firstNodeStable)
+      : random_(seed), firstNodeStable_(firstNodeStable) {
+    persistsFloor_ = randomBelow(2) == 0;
     MonotonicTime at = kOrigin - Milliseconds(60'000);
-    for (std::uint64_t version = 1; at < kOrigin + kLength; version += 1 + any(2)) {
+    for (std::uint64_t version = 1; at < kOrigin + kDuration; version += 1 + randomBelow(2)) {
       namings_[at] = WeightsVersion(version);
-      at = std::max(at, kOrigin) + Milliseconds(any(4) == 0 ? any(600) : any(14'000));
+      at = std::max(at, kOrigin) +
+           Milliseconds(randomBelow(4) == 0 ? randomBelow(600) : randomBelow(14'000));
     }
-    nodes_.resize(2 + any(4));
+    nodes_.resize(2 + randomBelow(4));
     for (Node& node : nodes_) {
       restart(node, kOrigin - Milliseconds(30'000), Milliseconds(0));
     }
   }
 
-  /// What is wrong first; empty: nothing.
+  /// Returns the first violation; empty if there is none.
   std::string run() {
-    for (MonotonicTime now = kOrigin; now < kOrigin + kLength; now += kStep) {
-      trouble(now);
+    for (MonotonicTime now = kOrigin; now < kOrigin + kDuration; now += kStep) {
+      injectFaults(now);
       deliver(now);
       for (std::size_t index = 0; index < nodes_.size(); ++index) {
         step(index, now);
-        if (const std::string wrong = judge(nodes_[index], now); !wrong.empty()) {
+        if (const std::string wrong = checkInvariants(nodes_[index], now); !wrong.empty()) {
           return wrong + " at node " + std::to_string(index) + " after " +
                  std::to_string(std::chrono::floor<Milliseconds>(now - kOrigin).count()) + " ms";
         }
@@ -85,32 +89,33 @@
   }
 
  private:
-  std::int64_t any(std::int64_t below) {
+  std::int64_t randomBelow(std::int64_t below) {
     return std::uniform_int_distribution<std::int64_t>(0, below - 1)(random_);
   }
-  void restart(Node& node, MonotonicTime now, Milliseconds longestRead) {
-    const unsigned life = node.life + 1;
+  void restart(Node& node, MonotonicTime now, Milliseconds maxReadDelay) {
+    const unsigned incarnation = node.incarnation + 1;
     node = Node{};
-    node.life = life;
+    node.incarnation = incarnation;
     node.upAt = now;
-    node.readsFrom = now + Milliseconds(any(longestRead.count() + 1));
-    node.tellsAt = now;
+    node.readsFrom = now + Milliseconds(randomBelow(maxReadDelay.count() + 1));
+    node.nextBroadcastAt = now;
   }
-  void trouble(MonotonicTime now) {
-    const bool all = any(400) == 0;
-    for (std::size_t index = watched_ ? 1 : 0; index < nodes_.size(); ++index) {
+  void injectFaults(MonotonicTime now) {
+    const bool fleetRestart = randomBelow(400) == 0;
+    for (std::size_t index = firstNodeStable_ ? 1 : 0; index < nodes_.size(); ++index) {
       Node& node = nodes_[index];
-      if ((all && any(8) != 0) || any(200) == 0) {
-        restart(node, now + Milliseconds(any(600)), Milliseconds(2500));
-      } else if (any(150) == 0) {
-        node.cutUntil = now + Milliseconds(any(3) == 0 ? any(8000) : any(1200));
+      if ((fleetRestart && randomBelow(8) != 0) || randomBelow(200) == 0) {
+        restart(node, now + Milliseconds(randomBelow(600)), Milliseconds(2500));
+      } else if (randomBelow(150) == 0) {
+        node.disconnectedUntil =
+            now + Milliseconds(randomBelow(3) == 0 ? randomBelow(8000) : randomBelow(1200));
       }
     }
   }
   void deliver(MonotonicTime now) {
     for (const Message& message : messages_) {
       Node& to = nodes_[message.to];
-      if (message.at <= now && message.life == to.life && to.targets) {
+      if (message.at <= now && message.incarnation == to.incarnation && to.targets) {
         to.targets->learn(message.named, now);
       }
     }
@@ -124,86 +129,88 @@
     if (!node.targets) {
       node.targets.emplace(kTerms, node.upAt);
     }
-    if (now >= node.readsFrom && now >= node.cutUntil) {
+    if (now >= node.readsFrom && now >= node.disconnectedUntil) {
       read(node, now);
     }
-    if (now >= node.tellsAt) {
-      tell(index, now);
+    if (now >= node.nextBroadcastAt) {
+      broadcast(index, now);
     }
   }
   void read(Node& node, MonotonicTime now) {
     const MonotonicTime state =
-        std::max(node.provenAt, now - Milliseconds(any(kLongestWay.count())));
+        std::max(node.provenAt, now - Milliseconds(randomBelow(kMaxReadDelay.count())));
     const bool isFirst = node.provenAt == MonotonicTime{};
-    const bool gap = now - node.provenAt > kLate;
+    const bool gap = now - node.provenAt > kDiscoveryThreshold;
     const WeightsVersion newest = namedBefore(state);
-    // Sometimes the store has forgotten its history, and the node lists.
-    const bool lists = any(5) == 0 && !(watched_ && &node == &nodes_.front());
+    // In some cases the store has discarded its history and the node lists anew.
+    const bool relists = randomBelow(5) == 0 && !(firstNodeStable_ && &node == &nodes_.front());
     const bool isNew = node.targets->newest(kModel) < newest;
-    if (isNew && (isFirst || gap || lists)) {
-      node.foundAt = now;
+    if (isNew && (isFirst || gap || relists)) {
+      node.discoveredAt = now;
       node.targets->find(kModel, newest, node.provenAt, now);
     } else if (isNew) {
       node.targets->name(kModel, newest, now);
     }
     node.targets->raiseFloor(kModel, floor_, now);
-    if (records_) {
+    if (persistsFloor_) {
       floor_ = std::max(floor_, node.targets->certainLeast(kModel, now));
     }
-    node.steadySince = isFirst || gap ? now : node.steadySince;
+    node.provenSince = isFirst || gap ? now : node.provenSince;
     node.provenAt = state;
   }
-  void tell(std::size_t index, MonotonicTime now) {
+  void broadcast(std::size_t index, MonotonicTime now) {
     Node& node = nodes_[index];
-    node.tellsAt = now + Milliseconds(100 + any(kLongestInterval.count() - 100));
+    node.nextBroadcastAt =
+        now + Milliseconds(100 + randomBelow(kMaxBroadcastInterval.count() - 100));
     const auto named = node.targets->known(now);
     for (std::size_t to = 0; to < nodes_.size(); ++to) {
-      if (to != index && (index == 0 || any(2) == 0)) {
-        messages_.push_back(
-            {now + Milliseconds(any(kLongestMessage.count())), to, nodes_[to].life, named});
+      if (to != index && (index == 0 || randomBelow(2) == 0)) {
+        messages_.push_back({now + Milliseconds(randomBelow(kMaxMessageDelay.count())), to,
+                             nodes_[to].incarnation, named});
       }
     }
   }
-  /// Newest version that had truly been named at `time`.
+  /// Newest version actually named at `time`.
   WeightsVersion namedBefore(MonotonicTime time) const {
     return std::prev(namings_.upper_bound(time))->second;
   }
-  std::string judge(const Node& node, MonotonicTime now) const {
+  std::string checkInvariants(const Node& node, MonotonicTime now) const {
     const Milliseconds found = WeightsTargets::kFoundTerm + kStep;
-    if (!node.targets || node.provenAt == MonotonicTime{} || now - node.provenAt > kLate) {
+    if (!node.targets || node.provenAt == MonotonicTime{} ||
+        now - node.provenAt > kDiscoveryThreshold) {
       return {};
     }
-    if (now - node.upAt > found && now - node.steadySince > found) {
-      if (node.targets->least(kModel, now) < namedBefore(now - kTerms.send - kExcess)) {
+    if (now - node.upAt > found && now - node.provenSince > found) {
+      if (node.targets->least(kModel, now) < namedBefore(now - kTerms.send - kTolerance)) {
         return "requests are sent to outdated weights";
       }
-      if (node.targets->leastWaiting(kModel, now) < namedBefore(now - kTerms.wait - kExcess)) {
+      if (node.targets->leastWaiting(kModel, now) < namedBefore(now - kTerms.wait - kTolerance)) {
         return "requests wait for outdated weights";
       }
     }
-    const Milliseconds hears = kLongestInterval + kLongestMessage + found;
+    const Milliseconds propagationTime = kMaxBroadcastInterval + kMaxMessageDelay + found;
     const bool early = node.targets->least(kModel, now) > namedBefore(now - kTerms.send + kStep);
-    if (watched_ && now - node.foundAt > hears && early) {
-      return "weights are given up too soon";
+    if (firstNodeStable_ && now - node.discoveredAt > propagationTime && early) {
+      return "weights are abandoned too soon";
     }
     return {};
   }
 
   std::mt19937_64 random_;
-  bool watched_;
-  bool records_ = false;
+  bool firstNodeStable_;
+  bool persistsFloor_ = false;
   std::map<MonotonicTime, WeightsVersion> namings_;
   std::vector<Node> nodes_;
   std::vector<Message> messages_;
   WeightsVersion floor_;
 };
 
-void checkSchedules(bool watched) {
+void checkSchedules(bool firstNodeStable) {
   constexpr std::uint64_t kSchedules = 3000;
   std::size_t wrong = 0;
   std::string first;
   for (std::uint64_t seed = 1; seed <= kSchedules; ++seed) {
-    const std::string found = Schedule(seed, watched).run();
+    const std::string found = Schedule(seed, firstNodeStable).run();
     if (!found.empty() && ++wrong == 1) {
       first = "seed " + std::to_string(seed);
       first += ": " + found;
@@ -212,11 +219,11 @@
   BOOST_TEST(wrong == 0U, wrong << " of " << kSchedules << " schedules; " << first);
 }
 
-BOOST_AUTO_TEST_CASE(noNodeUsesWhatRanOutWhateverItMissed) {
+BOOST_AUTO_TEST_CASE(noNodeUsesExpiredWeightsWhateverItMissed) {
   checkSchedules(false);
 }
 
-BOOST_AUTO_TEST_CASE(nodesBesideOneThatWatchedGiveNothingUpTooSoon) {
+BOOST_AUTO_TEST_CASE(nodesWithAStablePeerAbandonNoWeightsTooSoon) {
   checkSchedules(true);
 }
 
--- a/tests/weights/weights_targets_test.cc
+++ b/tests/weights/weights_targets_test.cc
@@ -46,10 +46,10 @@
   BOOST_TEST((targets.least(kModel, kStart + Milliseconds(6000)) == WeightsVersion(2)));
 }
 
-/// Incident: after all nodes had started anew, requests began on weights that had been replaced up
-/// to 21 s before. Nobody knew the age of the naming, and each node took it for half the term, so
-/// that the longer the bound the longer the excess.
-BOOST_AUTO_TEST_CASE(whatWasFoundIsTakenAsNamedLongBefore) {
+/// Regression: after all nodes restarted, requests began on weights replaced up to 21 s before. No
+/// node knew the age of the naming, and each assumed half the term, so that a longer bound led to a
+/// longer excess.
+BOOST_AUTO_TEST_CASE(discoveredVersionExpiresOlderOnesShortlyAfterStart) {
   for (const Milliseconds term : {Milliseconds(6000), Milliseconds(11'250), Milliseconds(15'000)}) {
     WeightsTargets targets({term, term + Milliseconds(1500)}, kStart);
     targets.find(kModel, WeightsVersion(2), {}, kStart);
@@ -59,18 +59,18 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(whatWasFoundIsTakenAsNamedBefore) {
+BOOST_AUTO_TEST_CASE(discoveredVersionIsAssumedToBeNamedEarlier) {
   WeightsTargets targets(kTerms, kStart);
   targets.find(kModel, WeightsVersion(2), {}, kStart);
   BOOST_TEST((targets.outdatedSince(kModel, WeightsVersion(1)) == kStart - Milliseconds(4500)));
-  BOOST_TEST((targets.successorHeardAt(kModel, WeightsVersion(1)) == kStart));
-  BOOST_TEST(!targets.successorHeardAt(kModel, WeightsVersion(2)).has_value());
-  // A guess is told to nobody.
+  BOOST_TEST((targets.successorLearnedAt(kModel, WeightsVersion(1)) == kStart));
+  BOOST_TEST(!targets.successorLearnedAt(kModel, WeightsVersion(2)).has_value());
+  // An assumed age is not reported to other nodes.
   BOOST_TEST(targets.known(kStart).empty());
 }
 
-BOOST_AUTO_TEST_CASE(anotherNodeTellsWhenTheFoundVersionWasNamed) {
-  // A node that restarts 400 ms after a naming must not give older weights up 2,600 ms too soon,
+BOOST_AUTO_TEST_CASE(peerReportsTheAgeOfTheDiscoveredVersion) {
+  // A node that restarts 400 ms after a naming must not abandon older weights 2,600 ms too early,
   // when no server has the newer ones yet.
   WeightsTargets watching(kTerms, kStart);
   watching.name(kModel, WeightsVersion(2), kStart);
@@ -82,10 +82,10 @@
   BOOST_TEST((restarted.least(kModel, kStart + Milliseconds(6000)) == WeightsVersion(2)));
 }
 
-BOOST_AUTO_TEST_CASE(ofSeveralAgesToldTheGreatestHolds) {
+BOOST_AUTO_TEST_CASE(greatestReportedAgeApplies) {
   WeightsTargets watching(kTerms, kStart);
   watching.name(kModel, WeightsVersion(2), kStart);
-  // This one was cut off when the version was named, and heard of it 3 s late.
+  // This node was disconnected when the version was named, and learned of it 3 s late.
   WeightsTargets late(kTerms, kStart);
   late.name(kModel, WeightsVersion(2), kStart + Milliseconds(3000));
   const MonotonicTime start = kStart + Milliseconds(4000);
@@ -98,28 +98,28 @@
   BOOST_TEST((restarted.least(kModel, kStart + Milliseconds(6000)) == WeightsVersion(2)));
 }
 
-/// A node whose watch was cut heard of the naming 3 s late, and would use older weights for as much
-/// longer than the others.
-BOOST_AUTO_TEST_CASE(greaterAgeCorrectsWhatThisNodeHeardLate) {
+/// A node whose watch was interrupted learned of the naming 3 s late, and would use older weights 3
+/// s longer than the others.
+BOOST_AUTO_TEST_CASE(greaterReportedAgeCorrectsALateObservation) {
   WeightsTargets watching(kTerms, kStart);
   watching.name(kModel, WeightsVersion(2), kStart);
   WeightsTargets late(kTerms, kStart);
   late.name(kModel, WeightsVersion(2), kStart + Milliseconds(3000));
-  const MonotonicTime told = kStart + Milliseconds(4000);
-  BOOST_TEST(late.learn(watching.known(told), told));
-  BOOST_TEST(!watching.learn(late.known(told), told));
+  const MonotonicTime reportedAt = kStart + Milliseconds(4000);
+  BOOST_TEST(late.learn(watching.known(reportedAt), reportedAt));
+  BOOST_TEST(!watching.learn(late.known(reportedAt), reportedAt));
   BOOST_TEST((late.least(kModel, kStart + Milliseconds(6000)) == WeightsVersion(2)));
 }
 
-/// A store that forgets its history has nodes list anew that watched until a moment ago: the naming
-/// is younger than what they had proven.
-BOOST_AUTO_TEST_CASE(whatAListingTellsOfIsYoungerThanTheLastProof) {
+/// A store that discards its history makes nodes list anew that watched until a moment ago: the
+/// naming is younger than their last proof.
+BOOST_AUTO_TEST_CASE(discoveredNamingIsNoOlderThanTheLastProof) {
   WeightsTargets targets(kTerms, kStart);
   targets.find(kModel, WeightsVersion(2), kStart - Milliseconds(400), kStart);
   BOOST_TEST((targets.outdatedSince(kModel, WeightsVersion(1)) == kStart - Milliseconds(400)));
 }
 
-BOOST_AUTO_TEST_CASE(whatThisNodeSawNamedIsNotMadeYounger) {
+BOOST_AUTO_TEST_CASE(observedNamingIsNotMadeYounger) {
   WeightsTargets targets(kTerms, kStart);
   targets.name(kModel, WeightsVersion(2), kStart);
   targets.learn({{kModel, {}, {}, {{WeightsVersion(2), Milliseconds(0)}}}},
@@ -127,32 +127,32 @@
   BOOST_TEST((targets.outdatedSince(kModel, WeightsVersion(1)) == kStart));
 }
 
-// Incident: after restarts of some nodes requests began on weights that had been replaced 12 s and
-// more before, where 8 s are allowed.
+// Regression: after restarts of some nodes, requests began on weights replaced 12 s and more
+// before, where 8 s are allowed.
 //
-// Seen: two versions were named in a row, and servers stayed on the first one. Nodes that started
-// anew after the second naming sent requests to it again, those that had watched did not.
+// Two versions were named in quick succession and servers stayed on the first one. Nodes that
+// started after the second naming sent requests to it again; nodes that had watched did not.
 //
-// Cause: a node that starts finds the newest version alone. What its peers told of those between
-// was dropped, as it had not read of them itself, and was told no longer at twice the term: so it
-// took the oldest weights for outdated since the newest naming only. Proof: by the log of such a
-// send the oldest weights were outdated for 3.9 s, "told", where others had counted 12.8 s.
+// A starting node discovers only the newest version. It dropped what peers reported of the versions
+// in between, as it had not read them itself, and peers stopped reporting them at twice the term.
+// It therefore took the oldest weights as outdated only since the newest naming: the log of such a
+// request gave 3.9 s with source "told", where other nodes counted 12.8 s.
 
-/// Whether the restarted node uses no version that the other one does not use any more, for as long
-/// as either could.
-void checkUsesNoMoreThan(const WeightsTargets& watching, const WeightsTargets& restarted,
-                         MonotonicTime from) {
+/// Checks that the restarted node uses no version that the watching node has abandoned, for as long
+/// as either could use it.
+void checkUsesNoOlderVersions(const WeightsTargets& watching, const WeightsTargets& restarted,
+                              MonotonicTime from) {
   for (MonotonicTime at = from; at <= from + 3 * kTerms.wait; at += Milliseconds(50)) {
     const auto after = std::chrono::duration_cast<Milliseconds>(at - kStart).count();
     BOOST_TEST((restarted.least(kModel, at) >= watching.least(kModel, at)),
-               "at " << after << " ms requests are sent to weights that others have given up");
+               "at " << after << " ms requests are sent to weights that peers have abandoned");
     BOOST_TEST((restarted.leastWaiting(kModel, at) >= watching.leastWaiting(kModel, at)),
-               "at " << after << " ms requests wait for weights that others have given up");
+               "at " << after << " ms requests wait for weights that peers have abandoned");
   }
 }
 
-BOOST_AUTO_TEST_CASE(restartedNodeGivesUpWhatEarlierNamingsMadeOutdated) {
-  // The second naming comes within the term of the first, just after it and long after it.
+BOOST_AUTO_TEST_CASE(restartedNodeAbandonsVersionsOutdatedByEarlierNamings) {
+  // The second naming comes within the term of the first, just after it, and long after it.
   for (const Milliseconds between :
        {Milliseconds(3000), Milliseconds(9600), Milliseconds(20'000)}) {
     WeightsTargets watching(kTerms, kStart);
@@ -162,12 +162,12 @@
     WeightsTargets restarted(kTerms, start);
     restarted.find(kModel, WeightsVersion(3), {}, start);
     restarted.learn(watching.known(start), start);
-    checkUsesNoMoreThan(watching, restarted, start);
+    checkUsesNoOlderVersions(watching, restarted, start);
   }
 }
 
-BOOST_AUTO_TEST_CASE(nodeThatStartedBetweenTwoNamingsTellsWhatItFound) {
-  // Nobody else is left that watched the first naming.
+BOOST_AUTO_TEST_CASE(nodeStartedBetweenTwoNamingsReportsWhatItDiscovered) {
+  // No other node is left that watched the first naming.
   WeightsTargets first(kTerms, kStart);
   first.find(kModel, WeightsVersion(2), {}, kStart);
   first.name(kModel, WeightsVersion(3), kStart + Milliseconds(1000));
@@ -175,13 +175,13 @@
   WeightsTargets restarted(kTerms, start);
   restarted.find(kModel, WeightsVersion(3), {}, start);
   restarted.learn(first.known(start), start);
-  // As long as a node may use what it found, which is not yet bound by then.
-  checkUsesNoMoreThan(first, restarted, start + WeightsTargets::kFoundTerm);
+  // Checked from the end of kFoundTerm on: until then a starting node may use what it discovered
+  // and is not yet held to the bound.
+  checkUsesNoOlderVersions(first, restarted, start + WeightsTargets::kFoundTerm);
 }
 
-/// A node that is told the age of the newest naming alone must not take it for the age of what came
-/// before.
-BOOST_AUTO_TEST_CASE(ageOfTheNewestNamingSaysNothingOfTheOnesBefore) {
+/// A node that receives the age of the newest naming alone must not apply it to earlier namings.
+BOOST_AUTO_TEST_CASE(ageOfTheNewestNamingDoesNotApplyToEarlierOnes) {
   const MonotonicTime start = kStart + Milliseconds(10'000);
   WeightsTargets other(kTerms, start - Milliseconds(5000));
   other.find(kModel, WeightsVersion(2), {}, start - Milliseconds(5000));
@@ -189,7 +189,7 @@
   WeightsTargets restarted(kTerms, start);
   restarted.find(kModel, WeightsVersion(3), {}, start);
   restarted.learn(other.known(start), start);
-  // Version 2 was replaced a second ago; when version 1 was, nobody knows.
+  // Version 2 was replaced a second ago; the time at which version 1 was replaced is unknown.
   const MonotonicTime foundEnd = start + WeightsTargets::kFoundTerm;
   BOOST_TEST((restarted.least(kModel, foundEnd) == WeightsVersion(2)));
   BOOST_TEST((restarted.leastWaiting(kModel, foundEnd) == WeightsVersion(2)));
@@ -197,8 +197,9 @@
   BOOST_TEST((restarted.least(kModel, start + Milliseconds(5000)) == WeightsVersion(3)));
 }
 
-/// The time that a starting node has counts from its start, though it reads the naming much later.
-BOOST_AUTO_TEST_CASE(whatIsFoundLateCountsFromTheStart) {
+/// The grace period of a starting node counts from its start, even if it reads the naming much
+/// later.
+BOOST_AUTO_TEST_CASE(lateDiscoveryCountsFromTheStart) {
   WeightsTargets targets(kTerms, kStart);
   const MonotonicTime read = kStart + Milliseconds(2300);
   targets.find(kModel, WeightsVersion(3), {}, read);
@@ -206,8 +207,8 @@
   BOOST_TEST((targets.leastWaiting(kModel, read) == WeightsVersion(3)));
 }
 
-/// A change that a cut or silent store held back may be older than it seems.
-BOOST_AUTO_TEST_CASE(namingInALateChangeCountsFromTheLastProof) {
+/// A change delayed by a disconnected or unresponsive store may be older than it seems.
+BOOST_AUTO_TEST_CASE(namingInADelayedChangeCountsFromTheLastProof) {
   WeightsTargets targets(kTerms, kStart);
   targets.find(kModel, WeightsVersion(1), {}, kStart);
   const MonotonicTime proven = kStart + Milliseconds(20'000);
@@ -218,8 +219,8 @@
   BOOST_TEST((targets.leastWaiting(kModel, proven + Milliseconds(7500)) == WeightsVersion(2)));
 }
 
-/// A second gap in what a node has watched must not bring back what it gave up after the first.
-BOOST_AUTO_TEST_CASE(whatWasGivenUpAfterOneGapStaysSoAfterTheNext) {
+/// A second gap in a node's watch must not make versions usable that it abandoned after the first.
+BOOST_AUTO_TEST_CASE(versionsAbandonedAfterOneGapStayAbandonedAfterTheNext) {
   WeightsTargets targets(kTerms, kStart);
   targets.find(kModel, WeightsVersion(2), {}, kStart);
   const MonotonicTime found = kStart + Milliseconds(4000);
@@ -228,7 +229,7 @@
   BOOST_TEST((targets.leastWaiting(kModel, found) == WeightsVersion(2)));
   BOOST_TEST((targets.least(kModel, found + Milliseconds(5900)) == WeightsVersion(3)));
   BOOST_TEST((targets.leastWaiting(kModel, found + Milliseconds(7400)) == WeightsVersion(3)));
-  // Also where the first one has not come to its end.
+  // The same holds if the limit of the first gap has not passed.
   WeightsTargets restarted(kTerms, kStart);
   restarted.find(kModel, WeightsVersion(2), {}, kStart);
   const MonotonicTime soon = kStart + Milliseconds(300);
@@ -236,21 +237,22 @@
   BOOST_TEST((restarted.least(kModel, kStart + WeightsTargets::kFoundTerm) >= WeightsVersion(2)));
 }
 
-/// What ran out before all nodes restarted together stays out of use by what the store keeps.
-BOOST_AUTO_TEST_CASE(floorFromTheStoreHoldsFromTheFirstMoment) {
+/// Versions that expired before all nodes restarted together stay unused because the store keeps
+/// the floor.
+BOOST_AUTO_TEST_CASE(floorFromTheStoreAppliesImmediately) {
   WeightsTargets targets(kTerms, kStart);
   targets.find(kModel, WeightsVersion(3), {}, kStart);
   BOOST_TEST(targets.raiseFloor(kModel, WeightsVersion(2), kStart));
   BOOST_TEST((targets.least(kModel, kStart) == WeightsVersion(2)));
   BOOST_TEST(!targets.raiseFloor(kModel, WeightsVersion(1), kStart));
   BOOST_TEST((targets.least(kModel, kStart) == WeightsVersion(2)));
-  // What this node does not use only because it knows too little binds nobody else.
+  // Versions that this node avoids only because its history is incomplete do not bind other nodes.
   BOOST_TEST((targets.least(kModel, kStart + WeightsTargets::kFoundTerm) == WeightsVersion(3)));
   BOOST_TEST(
       (targets.certainLeast(kModel, kStart + WeightsTargets::kFoundTerm) == WeightsVersion(2)));
 }
 
-BOOST_AUTO_TEST_CASE(floorAboveTheNewestVersionIsNone) {
+BOOST_AUTO_TEST_CASE(floorAboveTheNewestVersionIsIgnored) {
   WeightsTargets targets(kTerms, kStart);
   targets.raiseFloor(kModel, WeightsVersion(9), kStart);
   BOOST_TEST(targets.models().empty());
@@ -259,16 +261,17 @@
   BOOST_TEST((targets.least(kModel, kStart) == WeightsVersion()));
 }
 
-/// A node that has run for long is not bound by what a node that has just started does not know.
-BOOST_AUTO_TEST_CASE(runningNodeLearnsNothingFromOneThatHasJustStarted) {
+/// A node that has run for long does not adopt the incomplete history of a node that has just
+/// started.
+BOOST_AUTO_TEST_CASE(runningNodeIgnoresIncompleteHistoryOfAStartingNode) {
   WeightsTargets running(kTerms, kStart);
   running.find(kModel, WeightsVersion(1), {}, kStart);
   const MonotonicTime named = kStart + Milliseconds(60'000);
   running.name(kModel, WeightsVersion(2), named);
   WeightsTargets started(kTerms, named + Milliseconds(10));
   started.find(kModel, WeightsVersion(2), {}, named + Milliseconds(100));
-  const MonotonicTime told = named + Milliseconds(4000);
-  BOOST_TEST(!running.learn(started.known(told), told));
+  const MonotonicTime reportedAt = named + Milliseconds(4000);
+  BOOST_TEST(!running.learn(started.known(reportedAt), reportedAt));
   BOOST_TEST((running.least(kModel, named + Milliseconds(5999)) == WeightsVersion(1)));
 }
 
