--- a/src/weights/weights_history.cc
+++ b/src/weights/weights_history.cc
@@ -22,7 +22,7 @@
     case NamingSource::kFound:
       return "found";
     case NamingSource::kReportedByPeer:
-      return "received";
+      return "told";
   }
   return "found";
 }
