--- a/src/orders/engine_order.cc
+++ b/src/orders/engine_order.cc
@@ -32,7 +32,7 @@
   return std::nullopt;
 }
 
-/// Absent or malformed numbers read as 0, which no id or version has.
+/// Absent or malformed numbers are read as 0, which is no valid id or version.
 std::uint64_t numberAt(const json::object& object, std::string_view key) {
   const json::value* value = object.if_contains(key);
   json::error_code code;
@@ -54,7 +54,7 @@
   return std::move(document.get_object());
 }
 
-bool knownRole(std::string_view role) {
+bool isKnownRole(std::string_view role) {
   return role == "prefill" || role == "decode" || role == "mixed";
 }
 
@@ -100,7 +100,7 @@
   if (order.kind == OrderKind::kLoadVersion && order.weights.value() == 0) {
     return fail(ErrorKind::kMalformedRequest, "weights_version must be a number above 0");
   }
-  if (order.kind == OrderKind::kSetRole && !knownRole(order.role)) {
+  if (order.kind == OrderKind::kSetRole && !isKnownRole(order.role)) {
     return fail(ErrorKind::kMalformedRequest, "role must be prefill, decode or mixed");
   }
   return order;
--- a/src/orders/engine_order.h
+++ b/src/orders/engine_order.h
@@ -10,24 +10,24 @@
 /// Fenced orders to model engines, sent by the holder of the order lease.
 namespace calicodrift::orders {
 
-/// Where engines take orders.
+/// HTTP path at which engines accept orders.
 inline constexpr std::string_view kOrderPath = "/admin/orders";
 
 enum class OrderKind {
-  /// Changes nothing: reports the engine's state, and has the engine refuse older tokens from then
-  /// on, so that no late order of an earlier holder takes effect after it.
+  /// Changes nothing: the engine reports its state and from then on refuses older tokens, so that
+  /// no delayed order of an earlier holder takes effect afterwards.
   kObserve,
   kLoadVersion,
   kSetRole,
 };
 
-/// One order. The engine refuses it with status 412 unless all of these hold: its token is at least
-/// the highest that the engine has seen, so is its bundle version, and the incarnation (where one
-/// is named) is the engine's own. Repeating an order is harmless.
+/// An order to an engine. The engine refuses it with status 412 unless all of these hold: the token
+/// is at least the highest that the engine has seen, the same is true of the bundle version, and
+/// the incarnation, if given, is the engine's own. Repeating an order has no further effect.
 struct EngineOrder {
   OrderKind kind = OrderKind::kObserve;
   FencingToken token;
-  /// Version of the bundle that the order follows from; 0 for none.
+  /// Version of the bundle that the order is derived from; 0 for none.
   BundleVersion bundle;
   std::optional<Incarnation> incarnation;
   /// For kLoadVersion.
@@ -40,7 +40,7 @@
 /// Fails with kMalformedRequest.
 Result<EngineOrder> engineOrderFromJson(std::string_view text);
 
-/// What an engine reports of itself in answers to orders; also part of its health report.
+/// An engine's report on itself in answers to orders; also part of its health report.
 struct EngineReport {
   BackendId id;
   ModelId model;
@@ -48,7 +48,7 @@
   WeightsVersion weights;
   /// Version being loaded, if any.
   std::optional<WeightsVersion> loading;
-  /// Whether it takes new requests; false from the start of a load to its end.
+  /// Whether the engine accepts new requests; false from the start of a load to its end.
   bool accepting = true;
   std::string role;
   FencingToken highestToken;
--- a/src/orders/order_driver.cc
+++ b/src/orders/order_driver.cc
@@ -13,8 +13,8 @@
 namespace json = boost::json;
 using asio::awaitable;
 constexpr Milliseconds kOrderTimeout{1000};
-/// Bounds what a roll-out of a large model costs the holder.
-constexpr std::size_t kSurveyedPerSecond = 500;
+/// Bounds the load that a roll-out of a large model puts on the lease holder.
+constexpr std::size_t kMaxSurveyedPerSecond = 500;
 
 http::ExchangeOptions orderOptions() {
   http::ExchangeOptions options;
@@ -28,7 +28,7 @@
   return kind == OrderKind::kLoadVersion ? "load_version" : "observe";
 }
 
-/// Whether any engine is known to be at another version than the bundle's.
+/// Whether any engine is known to have a version other than the bundle's.
 bool rolloutNeeded(const bundle::Bundle& bundle, const std::vector<KnownEngine>& engines) {
   return std::any_of(engines.begin(), engines.end(), [&bundle](const KnownEngine& engine) {
     const bundle::Model* model = bundle.findModel(ModelId(engine.machine.serves));
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-/// The answers of one survey as they come in.
+/// Collects the answers of one survey.
 struct OrderDriver::Survey {
   explicit Survey(const asio::any_io_executor& executor) : finished(executor) {}
   std::vector<SurveyedEngine> engines;
@@ -66,7 +66,7 @@
   asio::steady_timer timer(executor_);
   for (;;) {
     const std::size_t surveyed = co_await round();
-    const Milliseconds spacing(surveyed * 1000 / kSurveyedPerSecond);
+    const Milliseconds spacing(surveyed * 1000 / kMaxSurveyedPerSecond);
     timer.expires_after(std::max(interval_, spacing));
     co_await timer.async_wait(asio::use_awaitable);
   }
@@ -79,8 +79,8 @@
   if (!token || !bundle) {
     co_return 0;
   }
-  if (*token != tenure_) {
-    tenure_ = *token;
+  if (*token != tenureToken_) {
+    tenureToken_ = *token;
     planner_.beginTenure();
     metrics_.countTenure();
   }
@@ -93,7 +93,7 @@
     endpoints[engine.machine.id] = engine.machine.endpoint;
   }
   const std::vector<SurveyedEngine> engines = co_await survey(bundle, std::move(known));
-  if (lease_.token() != tenure_) {
+  if (lease_.token() != tenureToken_) {
     co_return engines.size();
   }
   const std::vector<LoadOrder> orders = planner_.plan(*bundle, engines, monotonicNow());
@@ -119,7 +119,8 @@
       state->engines.push_back({engine.machine.id, model, engine.machine.terminating, {}});
       ++state->outstanding;
       const std::size_t index = state->engines.size() - 1;
-      asio::co_spawn(executor_, surveyOne(state, index, engine.machine.endpoint, bundle->version),
+      asio::co_spawn(executor_,
+                     surveyEngine(state, index, engine.machine.endpoint, bundle->version),
                      asio::detached);
     }
   }
@@ -129,8 +130,8 @@
   co_return state->engines;
 }
 
-awaitable<void> OrderDriver::surveyOne(std::shared_ptr<Survey> survey, std::size_t index,
-                                       Endpoint endpoint, BundleVersion bundle) {
+awaitable<void> OrderDriver::surveyEngine(std::shared_ptr<Survey> survey, std::size_t index,
+                                          Endpoint endpoint, BundleVersion bundle) {
   EngineOrder order;
   order.kind = OrderKind::kObserve;
   order.bundle = bundle;
@@ -157,7 +158,7 @@
 
 awaitable<Result<EngineReport>> OrderDriver::send(Endpoint endpoint, EngineOrder order) {
   const std::optional<FencingToken> token = lease_.token();
-  if (!token || *token != tenure_) {
+  if (!token || *token != tenureToken_) {
     metrics_.countOrder(nameOf(order.kind), "lease_ended");
     co_return fail(ErrorKind::kFenced, "the lease has ended");
   }
@@ -175,14 +176,14 @@
                    response.error().detail);
   }
   if (response.value().status != http::kStatusOk) {
-    noteRefusal(response.value(), order);
+    onRefusal(response.value(), order);
     co_return fail(ErrorKind::kFenced, "the engine refused the order");
   }
   metrics_.countOrder(nameOf(order.kind), "accepted");
   co_return engineReportFromJson(response.value().body);
 }
 
-void OrderDriver::noteRefusal(const http::Response& response, const EngineOrder& order) {
+void OrderDriver::onRefusal(const http::Response& response, const EngineOrder& order) {
   const bool fenced = response.status == http::kStatusPreconditionFailed;
   metrics_.countOrder(nameOf(order.kind), fenced ? "fenced" : "refused");
   const Result<EngineReport> report = engineReportFromJson(response.body);
--- a/src/orders/order_driver.h
+++ b/src/orders/order_driver.h
@@ -16,23 +16,23 @@
 
 namespace calicodrift::orders {
 
-/// An engine as the node's own tables know it.
+/// An engine as listed in the node's own tables.
 struct KnownEngine {
   object_api::Machine machine;
-  /// From the last probe; 0 where none was answered.
+  /// Weights reported by the last probe; 0 if no probe was answered.
   WeightsVersion weights;
 };
 
-/// What the driver asks the node for.
+/// Callbacks that provide the node's current bundle and engines.
 struct OrderSources {
   std::function<std::shared_ptr<const bundle::Bundle>()> bundle;
   std::function<std::vector<KnownEngine>()> engines;
 };
 
 /// Rolls out weights while this node holds the order lease: surveys the engines, lets the planner
-/// decide, and sends the orders. While every engine is at the bundle's version it does nothing.
-/// Invariant: no order leaves without a look at the own clock right before it, and every order
-/// carries the lease's token, by which engines refuse one that was late on its way.
+/// decide, and sends the orders. Does nothing while every engine is at the bundle's version.
+/// Invariant: the lease is checked against the local clock immediately before each order is sent,
+/// and every order carries the lease's token, by which engines refuse a delayed order.
 class OrderDriver {
  public:
   OrderDriver(boost::asio::any_io_executor executor, http::Client& client,
@@ -40,23 +40,26 @@
               RolloutSettings rollout, Milliseconds interval);
 
   void start();
-  /// JSON for operators: who holds the lease, and the roll-out's progress where this node does.
+  /// JSON status for operators: the lease holder, and the roll-out's progress if this node is the
+  /// holder.
   std::string statusJson() const;
 
  private:
   struct Survey;
 
   boost::asio::awaitable<void> run();
-  /// @return how many engines were asked.
+  /// @return number of engines polled.
   boost::asio::awaitable<std::size_t> round();
   boost::asio::awaitable<std::vector<SurveyedEngine>> survey(
       std::shared_ptr<const bundle::Bundle> bundle, std::vector<KnownEngine> engines);
-  boost::asio::awaitable<void> surveyOne(std::shared_ptr<Survey> survey, std::size_t index,
-                                         Endpoint endpoint, BundleVersion bundle);
+  boost::asio::awaitable<void> surveyEngine(std::shared_ptr<Survey> survey, std::size_t index,
+                                            Endpoint endpoint, BundleVersion bundle);
   boost::asio::awaitable<void> sendLoad(LoadOrder order, Endpoint endpoint, BundleVersion bundle);
-  /// Fails with kFenced where the lease is not held or the engine refuses the token.
+  /// Fails with kFenced if the lease is not held or the engine refuses the order, kConnectFailed if
+  /// the order was not sent, kOutcomeUnknown if the answer was lost, and kProtocolViolation if the
+  /// report can't be read.
   boost::asio::awaitable<Result<EngineReport>> send(Endpoint endpoint, EngineOrder order);
-  void noteRefusal(const http::Response& response, const EngineOrder& order);
+  void onRefusal(const http::Response& response, const EngineOrder& order);
 
   boost::asio::any_io_executor executor_;
   http::Client& client_;
@@ -65,8 +68,8 @@
   OrderMetrics& metrics_;
   RolloutPlanner planner_;
   Milliseconds interval_;
-  /// Token of the tenure that the planner's memory belongs to.
-  FencingToken tenure_;
+  /// Token of the lease tenure to which the planner's state belongs.
+  FencingToken tenureToken_;
 };
 
 }  // namespace calicodrift::orders
--- a/src/orders/order_metrics.h
+++ b/src/orders/order_metrics.h
@@ -6,7 +6,7 @@
 
 namespace calicodrift::orders {
 
-/// All counters of the order lease and of orders to engines.
+/// Metrics of the order lease and of orders to engines.
 class OrderMetrics {
  public:
   explicit OrderMetrics(prometheus::Registry& registry);
--- a/src/orders/rollout_planner.cc
+++ b/src/orders/rollout_planner.cc
@@ -7,12 +7,12 @@
 
 constexpr std::size_t kPercent = 100;
 
-/// Engines that must accept requests, of `total`: the share rounded up.
-std::size_t usableFloor(std::size_t total, std::int64_t percent) {
+/// Number of engines out of `total` that must accept requests: the percentage, rounded up.
+std::size_t minUsableEngines(std::size_t total, std::int64_t percent) {
   return (total * static_cast<std::size_t>(percent) + kPercent - 1) / kPercent;
 }
 
-bool counted(const SurveyedEngine& engine, const RolloutGoal::Model& model) {
+bool countsAsCapacity(const SurveyedEngine& engine, const RolloutGoal::Model& model) {
   return engine.model == model.id && !engine.leaving && engine.report.has_value();
 }
 
@@ -28,7 +28,7 @@
 }
 
 void RolloutPlanner::beginTenure() {
-  memory_.clear();
+  engineStates_.clear();
   progress_ = {};
 }
 
@@ -36,14 +36,14 @@
                                             const std::vector<SurveyedEngine>& engines,
                                             MonotonicTime now) {
   progress_ = {};
-  forgetOthers(engines);
+  removeOtherEngines(engines);
   for (const SurveyedEngine& engine : engines) {
     observe(engine, now);
     progress_.unreachable += engine.report ? 0 : 1;
-    progress_.loading += maybeLoading(engine, now) ? 1 : 0;
+    progress_.loading += mayBeLoading(engine, now) ? 1 : 0;
   }
-  const auto cap = static_cast<std::size_t>(goal.maxConcurrentLoads);
-  std::size_t budget = cap - std::min(cap, progress_.loading);
+  const auto maxLoads = static_cast<std::size_t>(goal.maxConcurrentLoads);
+  std::size_t budget = maxLoads - std::min(maxLoads, progress_.loading);
   std::vector<LoadOrder> orders;
   for (const RolloutGoal::Model& model : goal.models) {
     planModel(model, engines, budget, now, orders);
@@ -52,45 +52,46 @@
 }
 
 void RolloutPlanner::onOrderAnswered(const BackendId& engine) {
-  memory_[engine].orderSettled = true;
+  engineStates_[engine].orderResolved = true;
 }
 
-void RolloutPlanner::forgetOthers(const std::vector<SurveyedEngine>& engines) {
-  std::map<BackendId, Memory> kept;
+void RolloutPlanner::removeOtherEngines(const std::vector<SurveyedEngine>& engines) {
+  std::map<BackendId, EngineState> remaining;
   for (const SurveyedEngine& engine : engines) {
-    kept[engine.id] = memory_[engine.id];
+    remaining[engine.id] = engineStates_[engine.id];
   }
-  memory_ = std::move(kept);
+  engineStates_ = std::move(remaining);
 }
 
 void RolloutPlanner::observe(const SurveyedEngine& engine, MonotonicTime now) {
-  Memory& memory = memory_[engine.id];
+  EngineState& state = engineStates_[engine.id];
   if (!engine.report) {
-    memory.unreachableSince = memory.unreachableSince.value_or(now);
+    state.unreachableSince = state.unreachableSince.value_or(now);
     return;
   }
-  memory.unreachableSince.reset();
-  const bool shown = engine.report->loading || engine.report->weights == memory.order.weights ||
-                     engine.report->incarnation != memory.order.incarnation;
-  const bool expired = memory.orderedAt && now - *memory.orderedAt >= settings_.loadTimeout;
-  memory.orderSettled = memory.orderSettled || shown || expired;
-  memory.knownIdle = memory.orderSettled && !engine.report->loading;
+  state.unreachableSince.reset();
+  const bool resultReported = engine.report->loading ||
+                              engine.report->weights == state.order.weights ||
+                              engine.report->incarnation != state.order.incarnation;
+  const bool expired = state.orderedAt && now - *state.orderedAt >= settings_.loadTimeout;
+  state.orderResolved = state.orderResolved || resultReported || expired;
+  state.knownIdle = state.orderResolved && !engine.report->loading;
 }
 
-bool RolloutPlanner::maybeLoading(const SurveyedEngine& engine, MonotonicTime now) const {
-  const Memory& memory = memory_.at(engine.id);
+bool RolloutPlanner::mayBeLoading(const SurveyedEngine& engine, MonotonicTime now) const {
+  const EngineState& state = engineStates_.at(engine.id);
   if (!engine.report) {
-    return !memory.knownIdle && now - *memory.unreachableSince < settings_.loadTimeout;
+    return !state.knownIdle && now - *state.unreachableSince < settings_.loadTimeout;
   }
-  return engine.report->loading.has_value() || !memory.orderSettled;
+  return engine.report->loading.has_value() || !state.orderResolved;
 }
 
 bool RolloutPlanner::mayOrder(const SurveyedEngine& engine, WeightsVersion desired,
                               MonotonicTime now) const {
-  const Memory& memory = memory_.at(engine.id);
-  const bool recent = memory.orderedAt && now - *memory.orderedAt < settings_.retryInterval;
+  const EngineState& state = engineStates_.at(engine.id);
+  const bool recent = state.orderedAt && now - *state.orderedAt < settings_.retryInterval;
   return engine.report->weights != desired && engine.report->accepting &&
-         !maybeLoading(engine, now) && !recent;
+         !mayBeLoading(engine, now) && !recent;
 }
 
 void RolloutPlanner::planModel(const RolloutGoal::Model& model,
@@ -99,14 +100,14 @@
   std::size_t total = 0;
   std::size_t usable = 0;
   for (const SurveyedEngine& engine : engines) {
-    if (counted(engine, model)) {
+    if (countsAsCapacity(engine, model)) {
       ++total;
-      usable += engine.report->accepting && !maybeLoading(engine, now) ? 1 : 0;
+      usable += engine.report->accepting && !mayBeLoading(engine, now) ? 1 : 0;
     }
   }
-  const std::size_t floor = usableFloor(total, model.minUsablePercent);
+  const std::size_t minUsable = minUsableEngines(total, model.minUsablePercent);
   for (const SurveyedEngine& engine : engines) {
-    if (!counted(engine, model)) {
+    if (!countsAsCapacity(engine, model)) {
       continue;
     }
     const bool current = engine.report->weights == model.weights;
@@ -115,18 +116,18 @@
     if (budget == 0 || !mayOrder(engine, model.weights, now)) {
       continue;
     }
-    if (usable <= floor) {
+    if (usable <= minUsable) {
       ++progress_.heldForCapacity;
       continue;
     }
     --budget;
     --usable;
-    Memory& memory = memory_[engine.id];
-    memory.orderedAt = now;
-    memory.orderSettled = false;
-    memory.knownIdle = false;
-    memory.order = {engine.id, engine.report->incarnation, model.weights};
-    orders.push_back(memory.order);
+    EngineState& state = engineStates_[engine.id];
+    state.orderedAt = now;
+    state.orderResolved = false;
+    state.knownIdle = false;
+    state.order = {engine.id, engine.report->incarnation, model.weights};
+    orders.push_back(state.order);
   }
 }
 
--- a/tests/orders/rollout_planner_test.cc
+++ b/tests/orders/rollout_planner_test.cc
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr std::size_t kEngines = 12;
-constexpr std::int64_t kCap = 3;
+constexpr std::int64_t kMaxConcurrentLoads = 3;
 constexpr std::int64_t kMinUsablePercent = 60;
-constexpr MonotonicTime kQuiet{std::chrono::seconds(40)};
+constexpr MonotonicTime kFaultsEnd{std::chrono::seconds(40)};
 
 bundle::Bundle bundleAt(std::uint64_t weights) {
   bundle::Bundle bundle;
@@ -19,44 +19,45 @@
   model.weights = WeightsVersion(weights);
   model.minUsablePercent = kMinUsablePercent;
   bundle.models.push_back(model);
-  bundle.maxConcurrentLoads = kCap;
+  bundle.maxConcurrentLoads = kMaxConcurrentLoads;
   return bundle;
 }
 
-/// Engines in virtual time. Orders may be late, their answers may be lost, loads may fail; until
-/// `kQuiet`, engines may also restart with the old weights or be cut off for a while.
+/// Simulates engines in virtual time. Orders may be delayed, their answers may be lost, and loads
+/// may fail; until `kFaultsEnd`, engines may also restart with the old weights or be disconnected
+/// for a while.
 class SimulatedEngines {
  public:
   explicit SimulatedEngines(std::uint64_t seed) : random_(seed), engines_(kEngines) {}
 
   void advance(MonotonicTime now) {
     now_ = now;
-    std::erase_if(late_, [this](const LateOrder& late) {
-      if (late.arrival <= now_) {
-        apply(late.order, late.tenure);
+    std::erase_if(delayedOrders_, [this](const DelayedOrder& delayed) {
+      if (delayed.arrival <= now_) {
+        apply(delayed.order, delayed.tenure);
       }
-      return late.arrival <= now_;
+      return delayed.arrival <= now_;
     });
     for (Engine& engine : engines_) {
       if (engine.loading && now >= engine.loadEnd) {
         engine.weights = chance(0.1) ? engine.weights : *engine.loading;
         engine.loading.reset();
       }
-      if (now >= kQuiet) {
+      if (now >= kFaultsEnd) {
         continue;
       }
       if (chance(0.002)) {
         engine = Engine{engine.incarnation + 1, 1, {}, {}, now + Milliseconds(500), 0};
       } else if (chance(0.002)) {
-        engine.cutUntil = now + Milliseconds(3000);
+        engine.disconnectedUntil = now + Milliseconds(3000);
       }
     }
   }
 
-  /// Engines that answer refuse orders of earlier tenures from then on.
+  /// Surveys the engines; those that answer refuse orders of earlier tenures from then on.
   std::vector<SurveyedEngine> observe(int tenure) {
     for (Engine& engine : engines_) {
-      engine.tenure = now_ >= engine.cutUntil ? tenure : engine.tenure;
+      engine.tenure = now_ >= engine.disconnectedUntil ? tenure : engine.tenure;
     }
     return survey();
   }
@@ -65,7 +66,7 @@
     std::vector<SurveyedEngine> found;
     for (std::size_t index = 0; index < engines_.size(); ++index) {
       SurveyedEngine surveyed{BackendId("e" + std::to_string(index)), ModelId("m"), false, {}};
-      if (now_ >= engines_[index].cutUntil) {
+      if (now_ >= engines_[index].disconnectedUntil) {
         surveyed.report = report(engines_[index], surveyed.id);
       }
       found.push_back(surveyed);
@@ -77,7 +78,7 @@
   bool order(const LoadOrder& order, int tenure) {
     if (chance(0.1)) {
       const Milliseconds delay(std::uniform_int_distribution<int>(50, 1500)(random_));
-      late_.push_back({now_ + delay, order, tenure});
+      delayedOrders_.push_back({now_ + delay, order, tenure});
       return false;
     }
     apply(order, tenure);
@@ -88,7 +89,7 @@
     return static_cast<std::size_t>(std::count_if(
         engines_.begin(), engines_.end(), [](const Engine& e) { return e.loading.has_value(); }));
   }
-  bool allAt(std::uint64_t weights) const {
+  bool allHaveWeights(std::uint64_t weights) const {
     return std::all_of(engines_.begin(), engines_.end(),
                        [weights](const Engine& e) { return e.weights == weights && !e.loading; });
   }
@@ -99,10 +100,10 @@
     std::uint64_t weights = 1;
     std::optional<std::uint64_t> loading;
     MonotonicTime loadEnd{};
-    MonotonicTime cutUntil{};
+    MonotonicTime disconnectedUntil{};
     int tenure = 0;
   };
-  struct LateOrder {
+  struct DelayedOrder {
     MonotonicTime arrival;
     LoadOrder order;
     int tenure = 0;
@@ -110,10 +111,10 @@
 
   void apply(const LoadOrder& order, int tenure) {
     Engine& engine = engines_.at(std::stoul(order.engine.value().substr(1)));
-    const bool taken = now_ >= engine.cutUntil && tenure >= engine.tenure &&
-                       Incarnation(engine.incarnation) == order.incarnation &&
-                       engine.weights != order.weights.value() && !engine.loading;
-    if (taken) {
+    const bool accepted = now_ >= engine.disconnectedUntil && tenure >= engine.tenure &&
+                          Incarnation(engine.incarnation) == order.incarnation &&
+                          engine.weights != order.weights.value() && !engine.loading;
+    if (accepted) {
       engine.tenure = tenure;
       engine.loading = order.weights.value();
       engine.loadEnd = now_ + Milliseconds(std::uniform_int_distribution<int>(100, 900)(random_));
@@ -138,13 +139,13 @@
 
   std::mt19937_64 random_;
   std::vector<Engine> engines_;
-  std::vector<LateOrder> late_;
+  std::vector<DelayedOrder> delayedOrders_;
   MonotonicTime now_{};
 };
 
 struct Outcome {
   std::size_t peakLoading = 0;
-  std::size_t fewestUsablePercent = 100;
+  std::size_t minUsablePercentSeen = 100;
   bool finished = false;
 };
 
@@ -158,8 +159,8 @@
   return total == 0 ? 100 : usable * 100 / total;
 }
 
-/// Rolls out version 2, with a new lease holder every two seconds.
-Outcome rollOut(std::uint64_t seed) {
+/// Rolls out version 2 with a new lease holder every two seconds.
+Outcome runRollout(std::uint64_t seed) {
   SimulatedEngines engines(seed);
   RolloutPlanner planner(RolloutSettings{Milliseconds(4000), Milliseconds(100)});
   const bundle::Bundle bundle = bundleAt(2);
@@ -179,30 +180,32 @@
       }
     }
     outcome.peakLoading = std::max(outcome.peakLoading, engines.loading());
-    // Deaths and cuts move the share as well; only what the orders took counts here.
+    // Restarts and disconnections change the percentage as well; only decreases caused by orders
+    // count here.
     const std::size_t after = usablePercent(engines.survey());
     if (after < before) {
-      outcome.fewestUsablePercent = std::min(outcome.fewestUsablePercent, after);
+      outcome.minUsablePercentSeen = std::min(outcome.minUsablePercentSeen, after);
     }
-    outcome.finished = engines.allAt(2);
+    outcome.finished = engines.allHaveWeights(2);
   }
   return outcome;
 }
 
-BOOST_AUTO_TEST_CASE(capAndCapacityHoldAndTheRollOutEndsUnderFailures) {
+BOOST_AUTO_TEST_CASE(limitsHoldAndTheRolloutEndsUnderFailures) {
   constexpr std::uint64_t kSeeds = 200;
   std::size_t peak = 0;
-  std::size_t fewest = 100;
+  std::size_t minUsable = 100;
   std::size_t finished = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    const Outcome outcome = rollOut(seed);
+    const Outcome outcome = runRollout(seed);
     peak = std::max(peak, outcome.peakLoading);
-    fewest = std::min(fewest, outcome.fewestUsablePercent);
+    minUsable = std::min(minUsable, outcome.minUsablePercentSeen);
     finished += outcome.finished ? 1 : 0;
   }
-  BOOST_TEST_MESSAGE("peak " << peak << ", fewest usable " << fewest << "%, finished " << finished);
-  BOOST_TEST(peak == static_cast<std::size_t>(kCap));
-  BOOST_TEST(fewest >= static_cast<std::size_t>(kMinUsablePercent));
+  BOOST_TEST_MESSAGE("peak " << peak << ", fewest usable " << minUsable << "%, finished "
+                             << finished);
+  BOOST_TEST(peak == static_cast<std::size_t>(kMaxConcurrentLoads));
+  BOOST_TEST(minUsable >= static_cast<std::size_t>(kMinUsablePercent));
   BOOST_TEST(finished == kSeeds);
 }
 
@@ -214,7 +217,7 @@
   return {BackendId(id), ModelId("m"), false, report};
 }
 
-BOOST_AUTO_TEST_CASE(leavingAndDeadEnginesGetNoOrderAndDoNotBlock) {
+BOOST_AUTO_TEST_CASE(leavingAndUnresponsiveEnginesGetNoOrderAndDoNotBlock) {
   RolloutPlanner planner(RolloutSettings{Milliseconds(1000), Milliseconds(100)});
   std::vector<SurveyedEngine> engines{answering("a", 1), answering("b", 1), answering("c", 1)};
   engines[0].leaving = true;
@@ -224,14 +227,15 @@
   bundle::Bundle bundle = bundleAt(2);
   bundle.models[0].minUsablePercent = 50;
   const MonotonicTime start{};
-  // The silent ones may be loading for an earlier holder: they fill the cap for a while.
+  // Unresponsive engines may be loading for an earlier holder, so they use up the load limit for a
+  // while.
   BOOST_TEST(planner.plan(bundle, engines, start).empty());
   const auto orders = planner.plan(bundle, engines, start + Milliseconds(1000));
   BOOST_REQUIRE(orders.size() == 1U);
   BOOST_TEST(orders[0].engine.value() == "b");
 }
 
-BOOST_AUTO_TEST_CASE(aRollbackIsARollOutOfTheOlderWeights) {
+BOOST_AUTO_TEST_CASE(rollbackIsARolloutOfOlderWeights) {
   RolloutPlanner planner(RolloutSettings{});
   const std::vector<SurveyedEngine> engines{answering("a", 2), answering("b", 2),
                                             answering("c", 1)};
