--- a/src/service_rollout/canary_budget.cc
+++ b/src/service_rollout/canary_budget.cc
@@ -31,13 +31,13 @@
 }
 
 CanaryBudget::OrderAccounts& CanaryBudget::accountsOf(OrderKey order) {
-  ++asked_;
+  ++lookups_;
   const auto [found, added] = accounts_.try_emplace(order);
-  found->second.lastAsked = asked_;
-  if (added && accounts_.size() > kMostOrders) {
+  found->second.lastLookup = lookups_;
+  if (added && accounts_.size() > kMaxOrders) {
     const auto oldest = std::min_element(accounts_.begin(), accounts_.end(),
                                          [](const auto& one, const auto& other) {
-                                           return one.second.lastAsked < other.second.lastAsked;
+                                           return one.second.lastLookup < other.second.lastLookup;
                                          });
     accounts_.erase(oldest);
   }
--- a/src/service_rollout/judge.cc
+++ b/src/service_rollout/judge.cc
@@ -12,57 +12,58 @@
 constexpr std::size_t kStable = static_cast<std::size_t>(Track::kStable);
 constexpr std::size_t kCandidate = static_cast<std::size_t>(Track::kCandidate);
 
-/// Last parts of the window, which show a fault that has just struck both versions, so that its
-/// first answers aren't held against the candidate alone.
-constexpr std::array<Milliseconds, 3> kRecent = {Milliseconds(100), Milliseconds(500),
-                                                 Milliseconds(2000)};
-/// For so long answers that the sums have lost are expected back: a relay that was lost is replaced
-/// within a few seconds.
-constexpr Milliseconds kRegainTime{10'000};
-/// Looked at in place of the window where the stable version answered too little in it.
-constexpr Milliseconds kLongestWindow{30'000};
-/// Bounds the slices that are kept, to 300; updates that come more often share one.
+/// Most recent parts of the window. They show a fault that has just affected both versions, so that
+/// its first answers are not counted against the candidate alone.
+constexpr std::array<Milliseconds, 3> kRecentWindowLengths = {Milliseconds(100), Milliseconds(500),
+                                                              Milliseconds(2000)};
+/// Answers that the sums have lost are expected to return within this time: a lost relay is
+/// replaced within a few seconds.
+constexpr Milliseconds kRecoveryTime{10'000};
+/// Used in place of the window if the stable version answered too little in it.
+constexpr Milliseconds kMaxWindow{30'000};
+/// Limits the number of slices to 300; more frequent updates share a slice.
 constexpr Milliseconds kSliceLength{100};
 
-/// Answers of the stable version below which a share of failures, or a tail, says too little.
-constexpr std::uint64_t kLeastForFailures = 40;
-constexpr std::uint64_t kLeastForSlowness = 100;
-/// Answers without anything bad, but for the floor, that each estimate of a share begins with: one
-/// failure among three answers is no share of a third.
+/// With fewer answers of the stable version, a failure ratio or a tail is not meaningful.
+constexpr std::uint64_t kMinAnswersForFailures = 40;
+constexpr std::uint64_t kMinAnswersForSlowness = 100;
+/// Each estimated share starts from this many answers with the floor's share of bad ones, so that
+/// one failure among three answers is not taken as a share of a third.
 constexpr double kPriorAnswers = 20;
-/// Bad answers in a last part of the window below which it is left out: the highest share of
-/// several short parts would else be one that few answers gave by chance.
-constexpr std::uint64_t kLeastBadInPart = 3;
-/// Least share that a sound version is taken to have: a stable version that failed nothing in the
-/// window may do so in the next.
+/// Recent windows with fewer bad answers are ignored: the maximum over several short windows would
+/// otherwise reflect a few chance answers.
+constexpr std::uint64_t kMinBadInRecentWindow = 3;
+/// Minimum share of bad answers assumed for a sound version: a stable version without failures in
+/// one window may have some in the next.
 constexpr double kFailureFloor = 0.01;
 constexpr double kSlownessFloor = 0.02;
-/// By how much more often a bad version's answers are bad than a sound one's.
-constexpr double kManyFailures = 0.10;
-constexpr double kSomeFailures = 0.03;
-constexpr double kManySlow = 0.10;
-/// A sound version may be slower by so many buckets, a factor of the root of two: its caches are
-/// colder and its load a little other than the stable version's.
+/// Increase of the share of bad answers that a test looks for.
+constexpr double kLargeFailureIncrease = 0.10;
+constexpr double kSmallFailureIncrease = 0.03;
+constexpr double kSlowIncrease = 0.10;
+/// A sound version may be slower by this number of buckets, a factor of the square root of two
+/// each: its caches are colder and its load differs a little from the stable version's.
 constexpr std::size_t kToleratedBuckets = 1;
-/// The same where the stable version answers nothing beside it, as while everything is shifted:
-/// what slows down nodes or ways can't be told from the version then, and connections are new.
-/// Without it a pause of a busy node at the moment of the shift rejected 1 of 8 sound versions.
-constexpr std::size_t kToleratedBucketsAlone = 3;
-constexpr std::uint64_t kLeastBeside = 10;
-/// An answer is slow where it took longer than all but this share of the stable version's answers
-/// would with the tolerated factor. The wider tail finds a version that is three times slower, the
-/// thinner one a version of which few answers are much slower.
+/// The same if the stable version answers nothing at the same time, as while all traffic is
+/// shifted: slow nodes or network paths can't be distinguished from a slow version then, and
+/// connections are new. Without it, a pause of a busy node at the moment of the shift rejected 1 of
+/// 8 sound versions.
+constexpr std::size_t kToleratedBucketsWithoutStable = 3;
+constexpr std::uint64_t kMinConcurrentAnswers = 10;
+/// An answer is slow if it took longer than all but this share of the stable version's answers
+/// would with the tolerated factor. The wide tail detects a version that is three times slower, the
+/// thin one a version of which few answers are much slower.
 constexpr double kWideTail = 0.10;
 constexpr double kThinTail = 0.02;
-/// Above this share of bad answers of the stable version nothing can be told.
-constexpr double kHighestShare = 0.95;
+/// Nothing can be inferred if the stable version's share of bad answers is above this.
+constexpr double kMaxExpectedShare = 0.95;
 
 enum Test : std::size_t { kMany, kSome, kStartWide, kStartThin, kPaceWide, kPaceThin };
 constexpr std::array<std::string_view, 6> kTestNames = {"many failures", "some failures",
                                                         "slow start",    "very slow start",
                                                         "slow pace",     "very slow pace"};
 
-bool fell(const RatioHistogram& now, const RatioHistogram& before) {
+bool decreased(const RatioHistogram& now, const RatioHistogram& before) {
   for (std::size_t bucket = 0; bucket < kRatioBuckets; ++bucket) {
     if (now[bucket] < before[bucket]) {
       return true;
@@ -71,15 +72,15 @@
   return false;
 }
 
-RatioHistogram minus(const RatioHistogram& now, const RatioHistogram& before) {
-  RatioHistogram difference{};
-  std::transform(now.begin(), now.end(), before.begin(), difference.begin(), std::minus<>());
-  return difference;
+RatioHistogram difference(const RatioHistogram& now, const RatioHistogram& before) {
+  RatioHistogram result{};
+  std::transform(now.begin(), now.end(), before.begin(), result.begin(), std::minus<>());
+  return result;
 }
 
-bool fell(const RouteSample& now, const RouteSample& before) {
+bool decreased(const RouteSample& now, const RouteSample& before) {
   return now.answered < before.answered || now.failed < before.failed ||
-         fell(now.start, before.start) || fell(now.pace, before.pace);
+         decreased(now.start, before.start) || decreased(now.pace, before.pace);
 }
 
 std::uint64_t countFrom(const RatioHistogram& ratios, std::size_t bucket) {
@@ -112,19 +113,20 @@
     return verdict_;
   }
   Samples total{};
-  for (const auto& [route, growth] : takeGrowth(sum.routes, now)) {
-    judge(routes_[route], growth, now);
+  for (const auto& [route, increment] : computeIncrements(sum.routes, now)) {
+    updateScores(routes_[route], increment, now);
     for (std::size_t track = 0; track < kTracks; ++track) {
-      total[track] += growth[track];
+      total[track] += increment[track];
     }
   }
-  judge(all_, total, now);
+  updateScores(all_, total, now);
   const Strongest found = strongest();
   if (sum.rejected || found.score.ratio >= settings_.threshold) {
     finalEvidence_ = found.score.ratio;
-    finalText_ = (sum.rejected ? "rejected by another node; here: " : "") + describe(found);
+    finalText_ =
+        (sum.rejected ? "rejected by another node; local evidence: " : "") + describe(found);
     verdict_ = Verdict::kBad;
-  } else if (sawEnough() && found.score.ratio <= settings_.threshold / 2) {
+  } else if (hasEnoughAnswers() && found.score.ratio <= settings_.threshold / 2) {
     verdict_ = Verdict::kSound;
   } else {
     verdict_ = Verdict::kUndecided;
@@ -132,21 +134,21 @@
   return verdict_;
 }
 
-bool Judge::sawEnough() const {
-  if (all_.seen[kCandidate].answered < settings_.leastAnswers) {
+bool Judge::hasEnoughAnswers() const {
+  if (all_.seen[kCandidate].answered < settings_.minAnswers) {
     return false;
   }
-  const double notable = settings_.notableRouteShare * all_.seen[kStable].answered;
-  return std::all_of(routes_.begin(), routes_.end(), [this, notable](const auto& entry) {
+  const double significant = settings_.significantRouteShare * all_.seen[kStable].answered;
+  return std::all_of(routes_.begin(), routes_.end(), [this, significant](const auto& entry) {
     const Samples& seen = entry.second.seen;
-    return seen[kStable].answered < notable ||
-           seen[kCandidate].answered >= settings_.leastRouteAnswers;
+    return seen[kStable].answered < significant ||
+           seen[kCandidate].answered >= settings_.minRouteAnswers;
   });
 }
 
-std::map<RouteKey, Judge::Samples> Judge::takeGrowth(const std::map<RouteKey, Samples>& sum,
-                                                     MonotonicTime now) {
-  std::map<RouteKey, Samples> growth;
+std::map<RouteKey, Judge::Samples> Judge::computeIncrements(const std::map<RouteKey, Samples>& sum,
+                                                            MonotonicTime now) {
+  std::map<RouteKey, Samples> increment;
   std::map<RouteKey, Samples> latest = sum;
   for (const auto& [route, before] : last_) {
     latest.try_emplace(route);
@@ -154,58 +156,59 @@
   for (const auto& [route, samples] : latest) {
     const Samples& before = last_[route];
     for (std::size_t track = 0; track < kTracks; ++track) {
-      growth[route][track] = growthOf(samples[track], before[track], missing_[route][track], now);
+      increment[route][track] =
+          incrementOf(samples[track], before[track], lostAnswers_[route][track], now);
     }
   }
   last_ = std::move(latest);
-  return growth;
+  return increment;
 }
 
-RouteSample Judge::growthOf(const RouteSample& sample, const RouteSample& before, Missing& missing,
-                            MonotonicTime now) {
-  if (now > missing.until) {
-    missing.answers = 0;
+RouteSample Judge::incrementOf(const RouteSample& sample, const RouteSample& before,
+                               LostAnswers& lost, MonotonicTime now) {
+  if (now > lost.until) {
+    lost.answers = 0;
   }
-  if (fell(sample, before)) {
-    missing.answers += before.answered - std::min(sample.answered, before.answered);
-    missing.until = now + kRegainTime;
+  if (decreased(sample, before)) {
+    lost.answers += before.answered - std::min(sample.answered, before.answered);
+    lost.until = now + kRecoveryTime;
     return {};
   }
-  RouteSample growth;
-  growth.answered = sample.answered - before.answered;
-  // New answers come a few an update; what was missing comes back at once.
-  if (missing.answers > 0 && growth.answered >= missing.answers / 2) {
-    missing.answers -= std::min<std::uint64_t>(missing.answers, growth.answered);
+  RouteSample increment;
+  increment.answered = sample.answered - before.answered;
+  // Each update adds a few new answers, while lost answers return all at once.
+  if (lost.answers > 0 && increment.answered >= lost.answers / 2) {
+    lost.answers -= std::min<std::uint64_t>(lost.answers, increment.answered);
     return {};
   }
-  growth.failed = sample.failed - before.failed;
-  growth.start = minus(sample.start, before.start);
-  growth.pace = minus(sample.pace, before.pace);
-  return growth;
+  increment.failed = sample.failed - before.failed;
+  increment.start = difference(sample.start, before.start);
+  increment.pace = difference(sample.pace, before.pace);
+  return increment;
 }
 
-void Judge::judge(Scope& scope, const Samples& growth, MonotonicTime now) {
-  remember(scope, growth[kStable], now);
-  const RouteSample& candidate = growth[kCandidate];
+void Judge::updateScores(Scope& scope, const Samples& increment, MonotonicTime now) {
+  recordStableAnswers(scope, increment[kStable], now);
+  const RouteSample& candidate = increment[kCandidate];
   for (std::size_t track = 0; track < kTracks; ++track) {
-    scope.seen[track] += growth[track];
+    scope.seen[track] += increment[track];
   }
   if (candidate.answered == 0) {
     return;
   }
   const Baseline baseline = baselineOf(scope, now);
   auto& scores = scope.scores;
-  scoreFailures(scores[kMany], kManyFailures, baseline, candidate);
-  scoreFailures(scores[kSome], kSomeFailures, baseline, candidate);
+  scoreFailures(scores[kMany], kLargeFailureIncrease, baseline, candidate);
+  scoreFailures(scores[kSome], kSmallFailureIncrease, baseline, candidate);
   scoreSlowness(scores[kStartWide], kWideTail, &RouteSample::start, baseline, candidate);
   scoreSlowness(scores[kStartThin], kThinTail, &RouteSample::start, baseline, candidate);
   scoreSlowness(scores[kPaceWide], kWideTail, &RouteSample::pace, baseline, candidate);
   scoreSlowness(scores[kPaceThin], kThinTail, &RouteSample::pace, baseline, candidate);
 }
 
-void Judge::remember(Scope& scope, const RouteSample& stable, MonotonicTime now) const {
+void Judge::recordStableAnswers(Scope& scope, const RouteSample& stable, MonotonicTime now) const {
   while (!scope.slices.empty() &&
-         now - scope.slices.front().from > std::max(kLongestWindow, settings_.window)) {
+         now - scope.slices.front().from > std::max(kMaxWindow, settings_.window)) {
     scope.slices.pop_front();
   }
   if (stable == RouteSample{}) {
@@ -221,68 +224,69 @@
   Baseline baseline;
   for (auto slice = scope.slices.rbegin(); slice != scope.slices.rend(); ++slice) {
     const auto age = now - slice->from;
-    if (age > settings_.window && baseline.window.answered >= kLeastForSlowness) {
+    if (age > settings_.window && baseline.window.answered >= kMinAnswersForSlowness) {
       break;
     }
     baseline.window += slice->stable;
-    for (std::size_t part = 0; part < kRecents; ++part) {
-      if (age < kRecent[part]) {
-        baseline.recent[part] += slice->stable;
+    for (std::size_t recentWindow = 0; recentWindow < kRecentWindows; ++recentWindow) {
+      if (age < kRecentWindowLengths[recentWindow]) {
+        baseline.recent[recentWindow] += slice->stable;
       }
     }
   }
   return baseline;
 }
 
-void Judge::scoreFailures(Score& score, double step, const Baseline& baseline,
+void Judge::scoreFailures(Score& score, double increase, const Baseline& baseline,
                           const RouteSample& candidate) {
-  if (baseline.window.answered < kLeastForFailures) {
+  if (baseline.window.answered < kMinAnswersForFailures) {
     return;
   }
   double expected = shareOf(baseline.window.failed, baseline.window.answered, kFailureFloor);
-  for (const RouteSample& part : baseline.recent) {
-    if (part.failed >= kLeastBadInPart) {
-      expected = std::max(expected, shareOf(part.failed, part.answered, kFailureFloor));
+  for (const RouteSample& recentWindow : baseline.recent) {
+    if (recentWindow.failed >= kMinBadInRecentWindow) {
+      expected =
+          std::max(expected, shareOf(recentWindow.failed, recentWindow.answered, kFailureFloor));
     }
   }
-  add(score, step, expected, {candidate.failed, candidate.answered});
+  addToScore(score, increase, expected, {candidate.failed, candidate.answered});
 }
 
 void Judge::scoreSlowness(Score& score, double tail, RatioHistogram RouteSample::*ratios,
                           const Baseline& baseline, const RouteSample& candidate) {
-  const RatioHistogram& usual = baseline.window.*ratios;
-  const std::uint64_t answers = countFrom(usual, 0);
-  if (answers < kLeastForSlowness) {
+  const RatioHistogram& stable = baseline.window.*ratios;
+  const std::uint64_t answers = countFrom(stable, 0);
+  if (answers < kMinAnswersForSlowness) {
     return;
   }
-  std::size_t usualFrom = 0;
-  while (usualFrom + 1 < kRatioBuckets &&
-         static_cast<double>(countFrom(usual, usualFrom)) > tail * static_cast<double>(answers)) {
-    ++usualFrom;
+  std::size_t tailFrom = 0;
+  while (tailFrom + 1 < kRatioBuckets &&
+         static_cast<double>(countFrom(stable, tailFrom)) > tail * static_cast<double>(answers)) {
+    ++tailFrom;
   }
-  const bool alone = countFrom(baseline.recent.back().*ratios, 0) < kLeastBeside;
-  const std::size_t tolerated = alone ? kToleratedBucketsAlone : kToleratedBuckets;
-  const std::size_t slowFrom = std::min(usualFrom + tolerated, kRatioBuckets - 1);
-  double expected = shareOf(countFrom(usual, usualFrom), answers, kSlownessFloor);
-  for (const RouteSample& part : baseline.recent) {
-    const RatioHistogram& recent = part.*ratios;
-    const std::uint64_t above = countFrom(recent, usualFrom);
-    if (above >= kLeastBadInPart) {
+  const bool withoutStable = countFrom(baseline.recent.back().*ratios, 0) < kMinConcurrentAnswers;
+  const std::size_t tolerated = withoutStable ? kToleratedBucketsWithoutStable : kToleratedBuckets;
+  const std::size_t slowFrom = std::min(tailFrom + tolerated, kRatioBuckets - 1);
+  double expected = shareOf(countFrom(stable, tailFrom), answers, kSlownessFloor);
+  for (const RouteSample& recentWindow : baseline.recent) {
+    const RatioHistogram& recent = recentWindow.*ratios;
+    const std::uint64_t above = countFrom(recent, tailFrom);
+    if (above >= kMinBadInRecentWindow) {
       expected = std::max(expected, shareOf(above, countFrom(recent, 0), kSlownessFloor));
     }
   }
   const RatioHistogram& seen = candidate.*ratios;
-  add(score, kManySlow, expected, {countFrom(seen, slowFrom), countFrom(seen, 0)});
+  addToScore(score, kSlowIncrease, expected, {countFrom(seen, slowFrom), countFrom(seen, 0)});
 }
 
-void Judge::add(Score& score, double step, double expected, Counts seen) {
-  if (seen.answers == 0 || expected + step > kHighestShare) {
+void Judge::addToScore(Score& score, double increase, double expected, Counts seen) {
+  if (seen.answers == 0 || expected + increase > kMaxExpectedShare) {
     return;
   }
   const auto bad = static_cast<double>(seen.bad);
   const auto good = static_cast<double>(seen.answers - std::min(seen.bad, seen.answers));
-  const double ratio = bad * std::log((expected + step) / expected) +
-                       good * std::log((1 - expected - step) / (1 - expected));
+  const double ratio = bad * std::log((expected + increase) / expected) +
+                       good * std::log((1 - expected - increase) / (1 - expected));
   if (score.ratio + ratio <= 0) {
     score = {};
     return;
@@ -296,16 +300,16 @@
 Judge::Strongest Judge::strongest() const {
   Strongest found;
   found.scope = &all_;
-  const auto look = [&found](const Scope& scope, std::optional<RouteKey> route) {
+  const auto consider = [&found](const Scope& scope, std::optional<RouteKey> route) {
     for (std::size_t test = 0; test < kTests; ++test) {
       if (scope.scores[test].ratio > found.score.ratio) {
         found = {route, test, &scope, scope.scores[test]};
       }
     }
   };
-  look(all_, std::nullopt);
+  consider(all_, std::nullopt);
   for (const auto& [route, scope] : routes_) {
-    look(scope, route);
+    consider(scope, route);
   }
   return found;
 }
@@ -323,7 +327,7 @@
   std::ostringstream text;
   text << std::fixed << std::setprecision(1);
   if (strongest.score.answers == 0) {
-    text << "nothing against it";
+    text << "no evidence against the candidate";
   } else {
     text << kTestNames[strongest.test] << " on ";
     if (strongest.route) {
--- a/src/service_rollout/judge.h
+++ b/src/service_rollout/judge.h
@@ -13,125 +13,127 @@
 namespace calicodrift::service_rollout {
 
 enum class Verdict {
-  /// Too little was seen.
+  /// Too few answers so far.
   kUndecided,
-  /// Enough was seen, and nothing speaks against the candidate.
+  /// Enough answers, and no evidence against the candidate.
   kSound,
   kBad,
 };
 std::string_view toString(Verdict verdict);
 
-/// Figures of the judgement; docs/design/service-rollouts.md derives them and has the table of the
-/// chances of both errors.
+/// Parameters of the judgement; docs/design/service-rollouts.md derives them and tabulates the
+/// probabilities of both errors.
 struct JudgeSettings {
-  /// Logarithm of the likelihood ratio at which the candidate is rejected. Chance of a sound
-  /// version to be rejected in n answers: below n x p x e^-threshold for each test, where p is the
-  /// share of bad answers that the test looks for.
+  /// Logarithm of the likelihood ratio at which the candidate is rejected. A sound version is
+  /// rejected within n answers with probability below n x p x e^-threshold for each test, where p
+  /// is the share of bad answers that the test looks for.
   double threshold = 12;
-  /// Answers of the candidate below which it is never called sound.
-  std::uint32_t leastAnswers = 40;
-  /// The same for each route that brings a notable share of the stable version's answers: badness
-  /// on a single route is seen there only. Of 30 answers of which 3 in 10 are failures 9 are, and
-  /// 5 to 6 reject.
-  std::uint32_t leastRouteAnswers = 30;
-  double notableRouteShare = 0.05;
-  /// What the stable version did is looked at over so long, so that a fault that strikes both shows
-  /// in both.
+  /// Minimum number of answers of the candidate before it is considered sound.
+  std::uint32_t minAnswers = 40;
+  /// The same for each route with a significant share of the stable version's answers, since a
+  /// defect on a single route shows only there. Of 30 answers with a failure share of 0.3, 9 are
+  /// failures, and 5 to 6 suffice to reject.
+  std::uint32_t minRouteAnswers = 30;
+  double significantRouteShare = 0.05;
+  /// Time over which the stable version's answers are evaluated, so that a fault affecting both
+  /// versions shows in both.
   Milliseconds window{5000};
 };
 
 /// Judges the candidate of one order from the sums over all nodes: cumulative log-likelihood ratios
-/// (CUSUM) for failures, slow starts and slow pace, on each route and over all of them, against
-/// what the stable version did in the same seconds. Every node runs one on the sums that it hears,
-/// so that no node is needed for a rejection. No I/O.
+/// (CUSUM) for failures, slow starts and slow pace, on each route and over all routes, against the
+/// stable version's answers in the same seconds. Every node judges the sums that it receives, so no
+/// particular node is needed for a rejection. Performs no I/O.
 ///
-/// Answers of a route on which the stable version gave too few to compare with are left out, so
-/// that the candidate stays undecided there.
+/// Answers on a route with too few answers of the stable version are ignored, so the candidate
+/// stays undecided there.
 class Judge {
  public:
   explicit Judge(JudgeSettings settings) : settings_(settings) {}
 
-  /// @param sum what all nodes have seen, with this one. Counts may fall where a node was lost.
+  /// @param sum observations of all nodes including this one. Counts may decrease if a node is
+  /// lost.
   Verdict update(const OrderObservations& sum, MonotonicTime now);
   Verdict verdict() const { return verdict_; }
-  /// The highest of the present ratios, and a text for logs with the figures behind it: route,
-  /// test, counts of both versions. Both stay as they were when the candidate was rejected.
+  /// The highest current log-likelihood ratio, and a text for logs with the underlying figures:
+  /// route, test, and counts of both versions. Both are frozen when the candidate is rejected.
   double evidence() const;
   std::string explain() const;
 
  private:
   using Samples = std::array<RouteSample, kTracks>;
   static constexpr std::size_t kTests = 6;
-  static constexpr std::size_t kRecents = 3;
+  static constexpr std::size_t kRecentWindows = 3;
 
-  /// Of one test on one scope, since its ratio was last 0.
+  /// State of one test on one scope since its ratio was last 0.
   struct Score {
     double ratio = 0;
     std::uint64_t bad = 0;
     std::uint64_t answers = 0;
-    /// Share of bad answers that a sound version was last expected to have.
+    /// Share of bad answers last expected of a sound version.
     double expected = 0;
   };
-  /// What the stable version answered since the slice before.
+  /// Answers of the stable version since the previous slice.
   struct Slice {
     MonotonicTime from{};
     RouteSample stable;
   };
-  /// A route, or all of them.
+  /// A route, or all routes.
   struct Scope {
     Samples seen;
     std::deque<Slice> slices;
     std::array<Score, kTests> scores;
   };
-  /// What the stable version did over the window, and over its last parts.
+  /// Answers of the stable version in the window and in its most recent parts.
   struct Baseline {
     RouteSample window;
-    std::array<RouteSample, kRecents> recent;
+    std::array<RouteSample, kRecentWindows> recent;
   };
-  /// Answers that sums have lost and may regain: a part of the tree was out of reach.
-  struct Missing {
+  /// Answers that sums have lost and may regain, as after a part of the relay tree was unreachable.
+  struct LostAnswers {
     std::uint64_t answers = 0;
     MonotonicTime until{};
   };
-  /// Bad answers among some.
+  /// Number of bad answers, and of all answers.
   struct Counts {
     std::uint64_t bad = 0;
     std::uint64_t answers = 0;
   };
   struct Strongest {
-    /// Nothing: over all routes.
+    /// Empty for all routes.
     std::optional<RouteKey> route;
     std::size_t test = 0;
     const Scope* scope = nullptr;
     Score score;
   };
 
-  /// How each sample grew since the last update.
-  std::map<RouteKey, Samples> takeGrowth(const std::map<RouteKey, Samples>& sum, MonotonicTime now);
-  /// Nothing where any count fell, as what the others added can't be told, and where it rises by
-  /// what was missing.
-  static RouteSample growthOf(const RouteSample& sample, const RouteSample& before,
-                              Missing& missing, MonotonicTime now);
-  void judge(Scope& scope, const Samples& growth, MonotonicTime now);
-  void remember(Scope& scope, const RouteSample& stable, MonotonicTime now) const;
+  /// Increments of each sample since the last update.
+  std::map<RouteKey, Samples> computeIncrements(const std::map<RouteKey, Samples>& sum,
+                                                MonotonicTime now);
+  /// Returns an empty increment if any count decreased, as the contribution of the other nodes is
+  /// unknown then, and if the counts rise by the number of lost answers.
+  static RouteSample incrementOf(const RouteSample& sample, const RouteSample& before,
+                                 LostAnswers& lost, MonotonicTime now);
+  void updateScores(Scope& scope, const Samples& increment, MonotonicTime now);
+  void recordStableAnswers(Scope& scope, const RouteSample& stable, MonotonicTime now) const;
   Baseline baselineOf(const Scope& scope, MonotonicTime now) const;
-  static void scoreFailures(Score& score, double step, const Baseline& baseline,
+  static void scoreFailures(Score& score, double increase, const Baseline& baseline,
                             const RouteSample& candidate);
   static void scoreSlowness(Score& score, double tail, RatioHistogram RouteSample::*ratios,
                             const Baseline& baseline, const RouteSample& candidate);
-  static void add(Score& score, double step, double expected, Counts seen);
-  /// Whether the candidate has answered enough, and on each notable route.
-  bool sawEnough() const;
+  static void addToScore(Score& score, double increase, double expected, Counts seen);
+  /// Whether the candidate has enough answers, in total and on each significant route.
+  bool hasEnoughAnswers() const;
   Strongest strongest() const;
   std::string describe(const Strongest& strongest) const;
 
   JudgeSettings settings_;
   Verdict verdict_ = Verdict::kUndecided;
   std::map<RouteKey, Samples> last_;
-  std::map<RouteKey, std::array<Missing, kTracks>> missing_;
+  std::map<RouteKey, std::array<LostAnswers, kTracks>> lostAnswers_;
   std::map<RouteKey, Scope> routes_;
   Scope all_;
-  /// At the rejection.
+  /// Values at the rejection.
   double finalEvidence_ = 0;
   std::string finalText_;
 };
--- a/src/service_rollout/metrics.cc
+++ b/src/service_rollout/metrics.cc
@@ -28,16 +28,16 @@
 }  // namespace
 
 void RolloutMetrics::Gauges::clear() {
-  for (prometheus::Gauge* gauge : shown) {
+  for (prometheus::Gauge* gauge : series) {
     family->Remove(gauge);
   }
-  shown.clear();
+  series.clear();
 }
 
 void RolloutMetrics::Gauges::add(const prometheus::Labels& labels, double value) {
   prometheus::Gauge& gauge = family->Add(labels);
   gauge.Set(value);
-  shown.push_back(&gauge);
+  series.push_back(&gauge);
 }
 
 RolloutMetrics::RolloutMetrics(prometheus::Registry& registry)
@@ -79,8 +79,8 @@
   }
   for (const RolloutStatus& status : services) {
     info_.add(infoLabels(status), 1);
-    const bool underWay = status.phase != Phase::kSteady;
-    if (underWay) {
+    const bool inProgress = status.phase != Phase::kSteady;
+    if (inProgress) {
       const prometheus::Labels labels{{"service", status.service}};
       reached_.add(labels, static_cast<double>(status.reached));
       exposed_.add(labels, static_cast<double>(status.exposed));
--- a/src/service_rollout/metrics.h
+++ b/src/service_rollout/metrics.h
@@ -15,53 +15,54 @@
 
 namespace calicodrift::service_rollout {
 
-/// One series a service with value 1, whose labels say how its roll-out stands at this node.
+/// One series per service with value 1, whose labels describe the state of its roll-out at this
+/// node.
 inline constexpr std::string_view kRolloutInfoMetric = "calicodrift_service_rollout_info";
 inline constexpr std::string_view kRolloutReachedMetric = "calicodrift_service_rollout_reached";
 inline constexpr std::string_view kRolloutExposedMetric = "calicodrift_service_rollout_exposed";
 inline constexpr std::string_view kRolloutEvidenceMetric = "calicodrift_service_rollout_evidence";
 inline constexpr std::string_view kRolloutAgeMetric = "calicodrift_service_rollout_age_seconds";
 
-/// What one node knows of a service's roll-out, for operators.
+/// What one node knows of a service's roll-out; shown to operators.
 struct RolloutStatus {
   std::string service;
   SoftwareVersion stable;
-  /// Of the record under way; empty where there is none.
+  /// From the record of the order in progress; empty if there is none.
   SoftwareVersion candidate;
   Phase phase = Phase::kSteady;
-  /// What this node sends to the candidate now.
+  /// Which requests this node currently sends to the candidate.
   CandidateUse use = CandidateUse::kNothing;
-  /// Target and state of the order as the operator reads it; empty and kNew without one.
+  /// Target and state of the order as the operator reads them; empty and kNew without an order.
   SoftwareVersion target;
   OrderState state = OrderState::kNew;
   std::string verdict;
-  /// Logarithm of the likelihood ratio against the candidate, as the judge at this node has it.
+  /// Logarithm of the likelihood ratio against the candidate, from this node's judge.
   double evidence = 0;
-  /// Over all nodes since the order: requests to either version, and those to the candidate.
+  /// Requests to either version and to the candidate since the order, over all nodes.
   std::uint64_t reached = 0;
   std::uint64_t exposed = 0;
   Milliseconds age{0};
 };
 
-/// All counters and gauges of the module. By service: as many as have an order or a record.
+/// Metrics of the module. They have one series per service with an order or a record.
 class RolloutMetrics {
  public:
   explicit RolloutMetrics(prometheus::Registry& registry);
 
-  /// Replaces what is shown of all services.
+  /// Replaces the status shown for all services.
   void show(const std::vector<RolloutStatus>& services);
-  /// A request was sent by this node while an order was under way.
+  /// Counts a request sent by this node while an order was in progress.
   void countSent(const std::string& service, Track track);
-  /// This node found, or heard, a candidate to be bad.
+  /// Counts a candidate that this node rejected itself or learned to be rejected.
   void countRejection(const std::string& service);
-  /// A record or a state was written by this node, or could not be.
+  /// Counts a write of a record or a state by this node, and whether it succeeded.
   void countWrite(const std::string& object, bool written);
 
  private:
-  /// A family, and its series that are shown now.
+  /// A metric family and its current series.
   struct Gauges {
     prometheus::Family<prometheus::Gauge>* family;
-    std::vector<prometheus::Gauge*> shown;
+    std::vector<prometheus::Gauge*> series;
 
     void clear();
     void add(const prometheus::Labels& labels, double value);
--- a/src/service_rollout/observations.cc
+++ b/src/service_rollout/observations.cc
@@ -21,12 +21,12 @@
 
 std::size_t ratioBucket(double ratio) {
   constexpr double kBucketsPerOctave = 2;
-  /// Of the ratio 1.
-  constexpr double kMiddleBucket = 4;
+  /// Bucket of the ratio 1.
+  constexpr double kUnitRatioBucket = 4;
   if (!(ratio > 0)) {
     return 0;
   }
-  const double bucket = std::floor(std::log2(ratio) * kBucketsPerOctave + kMiddleBucket);
+  const double bucket = std::floor(std::log2(ratio) * kBucketsPerOctave + kUnitRatioBucket);
   return static_cast<std::size_t>(std::clamp(bucket, 0.0, double{kRatioBuckets - 1}));
 }
 
--- a/src/service_rollout/observations.h
+++ b/src/service_rollout/observations.h
@@ -17,55 +17,57 @@
 using fleet::kTracks;
 using fleet::Track;
 
-/// Names a route between nodes in few bytes: the hash of its name.
+/// Compact identifier of a route in messages between nodes: the hash of its name.
 using RouteKey = StrongType<struct RouteKeyTag, std::uint64_t>;
 
-/// How long answers took against what their work should take, in steps of a factor of the square
-/// root of two: bucket i counts ratios from 2^((i-4)/2) on; the first and last are open.
+/// Histogram of the ratio of an answer's time to the expected time of its work, in steps of a
+/// factor of the square root of two: bucket i counts ratios from 2^((i-4)/2) on; the first and last
+/// bucket are unbounded.
 inline constexpr std::size_t kRatioBuckets = 16;
 using RatioHistogram = std::array<std::uint32_t, kRatioBuckets>;
 std::size_t ratioBucket(double ratio);
 
-/// Answers of one version on one route since the order was accepted. Counts of nodes add up.
+/// Answers of one version on one route since the order was accepted. Counts of several nodes can be
+/// added.
 struct RouteSample {
   std::uint32_t answered = 0;
-  /// Failures that the server answered itself, and streams that it broke off while it lived on.
+  /// Failures answered by the server itself, and streams that it broke off while it stayed alive.
   std::uint32_t failed = 0;
-  /// Time to the head or first event, against queue, prefill and base time.
+  /// Time to the response head or first event, relative to queue, prefill and base time.
   RatioHistogram start{};
-  /// Time between the events of a stream, against the pace that is usual for its load.
+  /// Time between the events of a stream, relative to the usual pace at its load.
   RatioHistogram pace{};
 
   RouteSample& operator+=(const RouteSample& other);
   bool operator==(const RouteSample&) const = default;
 };
 
-/// What some nodes together have seen of one order.
+/// Combined observations of several nodes for one order.
 struct OrderObservations {
   OrderKey order;
-  /// Since the operator's write, as far as any of the nodes knows.
+  /// Time since the operator's write; the greatest value known to any of the nodes.
   Milliseconds age{0};
-  /// One of the nodes has found the candidate to be bad. Never taken back.
+  /// Whether any node has found the candidate to be bad. Never reset.
   bool rejected = false;
-  /// Requests sent to either version, and those to the candidate; second tries count as well.
+  /// Requests sent to either version, and to the candidate; retries are included.
   std::uint64_t reached = 0;
   std::uint64_t exposed = 0;
   std::map<RouteKey, std::array<RouteSample, kTracks>> routes;
 
-  /// Adds what other nodes saw of the same order.
+  /// Adds other nodes' observations of the same order.
   OrderObservations& operator+=(const OrderObservations& other);
 };
 
-/// By order; at most a few services roll at once.
+/// Observations by order; at most a few services are rolled out at once.
 using ObservationTable = std::map<OrderKey, OrderObservations>;
 void addObservations(ObservationTable& sum, const ObservationTable& more);
 
-/// One answer, as the data path saw it.
+/// One answer as observed in the data path.
 struct AnswerObservation {
   RouteKey route;
   Track track = Track::kStable;
   bool failed = false;
-  /// Nothing where the answer says nothing of speed: its server warms up or loads weights.
+  /// Empty if the answer is not indicative of speed: its server warms up or loads weights.
   std::optional<double> startRatio;
   std::optional<double> paceRatio;
 };
--- a/src/service_rollout/observer.cc
+++ b/src/service_rollout/observer.cc
@@ -64,9 +64,9 @@
 RouteSample& Observer::sampleOf(Account& account, const AnswerObservation& answer) {
   auto& routes = account.seen.routes;
   RouteKey route = answer.route;
-  if (!routes.contains(route) && routes.size() >= kMostRoutes) {
-    route = kFurtherRoutes;
-    ++answersOfFurtherRoutes_;
+  if (!routes.contains(route) && routes.size() >= kMaxRoutes) {
+    route = kOverflowRoute;
+    ++overflowAnswers_;
   }
   return routes[route][static_cast<std::size_t>(answer.track)];
 }
--- a/src/service_rollout/observer.h
+++ b/src/service_rollout/observer.h
@@ -10,38 +10,40 @@
 
 namespace calicodrift::service_rollout {
 
-/// What this node itself has seen of the running orders, for the sums over all nodes. No I/O; calls
-/// that need the time are told it.
+/// Collects this node's own observations of the running orders, which are summed over all nodes.
+/// Performs no I/O; the caller passes the time where needed.
 ///
-/// Invariant: memory is bounded by the orders that run and by kMostRoutes for each, because an
-/// answer is counted only while its order is known, and keepOnly() drops the others.
+/// Invariant: memory is bounded by the number of running orders and kMaxRoutes for each, because an
+/// answer is counted only while its order is known and keepOnly() drops all other orders.
 class Observer {
  public:
-  /// Routes that an order is judged by one by one; further ones are counted together as
-  /// kFurtherRoutes. A service has a handful; at 300 bytes a route 64 take 20 KB an order.
-  static constexpr std::size_t kMostRoutes = 64;
-  inline static const RouteKey kFurtherRoutes{0};
+  /// Maximum number of routes that are judged separately for an order; further routes are counted
+  /// together as kOverflowRoute. A service has a handful of routes; at 300 bytes each, 64 take 20
+  /// KB per order.
+  static constexpr std::size_t kMaxRoutes = 64;
+  inline static const RouteKey kOverflowRoute{0};
 
-  /// A request was sent to a version of the service, second tries as well.
+  /// Counts a request sent to a version of the service; retries are included.
   void onSent(OrderKey order, Track track);
-  /// An answer of an order that has ended, or that nothing was sent for, is not counted.
+  /// Counts an answer. Ignored if the order has ended or no request was sent for it.
   void onAnswer(OrderKey order, const AnswerObservation& answer);
-  /// The order was written so long ago, as this node read it or heard it from others. The highest
-  /// counts, grows with the node's clock, and is told on.
+  /// Records that the order was written `age` ago, as read by this node or reported by others. The
+  /// greatest age applies; it increases with the node's clock and is passed on to others.
   void learnAge(OrderKey order, Milliseconds age, MonotonicTime now);
-  /// The candidate is bad, as this node found or heard. Never taken back while the order runs.
+  /// Records that the candidate is bad, as found by this node or learned from others. Never reset
+  /// while the order runs.
   void reject(OrderKey order);
-  /// Drops the orders that have ended.
+  /// Drops all orders but the running ones.
   void keepOnly(const std::set<OrderKey>& running);
 
   ObservationTable own(MonotonicTime now) const;
-  /// Answers that were counted under kFurtherRoutes, for the metrics.
-  std::uint64_t answersOfFurtherRoutes() const { return answersOfFurtherRoutes_; }
+  /// Number of answers counted under kOverflowRoute, for the metrics.
+  std::uint64_t overflowAnswers() const { return overflowAnswers_; }
 
  private:
   struct Account {
     OrderObservations seen;
-    /// When the order was written, as far as its age is known.
+    /// When the order was written; empty if its age is unknown.
     std::optional<MonotonicTime> writtenAt;
   };
 
@@ -49,7 +51,7 @@
   RouteSample& sampleOf(Account& account, const AnswerObservation& answer);
 
   std::map<OrderKey, Account> accounts_;
-  std::uint64_t answersOfFurtherRoutes_ = 0;
+  std::uint64_t overflowAnswers_ = 0;
 };
 
 }  // namespace calicodrift::service_rollout
--- a/src/service_rollout/order.h
+++ b/src/service_rollout/order.h
@@ -10,13 +10,14 @@
 #include "store/object_store.h"
 
 /// Progressive delivery of a service's software: an operator orders a service onto servers of
-/// another version, a bounded share of the traffic tries them, all nodes judge them together, and
-/// the order ends in promotion or in rollback. docs/design/service-rollouts.md has the protocol.
+/// another version, a bounded share of the traffic goes to them, all nodes evaluate them together,
+/// and the order ends in promotion or rollback. docs/design/service-rollouts.md describes the
+/// protocol.
 namespace calicodrift::service_rollout {
 
-/// What became of an order.
+/// State of an order.
 enum class OrderState {
-  /// Nothing has been written to it yet.
+  /// No state has been written yet.
   kNew,
   kRunning,
   kCompleted,
@@ -24,37 +25,37 @@
 };
 std::string_view toString(OrderState state);
 
-/// Names one order between nodes in few bytes, see keyOf().
+/// Compact identifier of an order in messages between nodes, see keyOf().
 using OrderKey = StrongType<struct OrderKeyTag, std::uint64_t>;
 
 /// An operator's order to move a service's traffic to servers of the target version.
 struct Order {
-  /// Of the object that holds it.
+  /// Name of the object that holds the order.
   std::string name;
   std::string service;
   SoftwareVersion target;
-  /// From the operator's write until the order should have ended.
+  /// Time from the operator's write until the order should have ended.
   Milliseconds duration{0};
-  /// As last written by a node, and for which target: the operator may have changed the target
-  /// since.
+  /// State last written by a node, and the target that it was written for: the operator may have
+  /// changed the target since.
   OrderState state = OrderState::kNew;
   SoftwareVersion stateTarget;
-  /// Of the object's last change, a write of the state included.
+  /// Revision of the object's last change, including writes of the state.
   store::Revision revision;
-  /// The operator has withdrawn it.
+  /// Whether the operator has withdrawn the order.
   bool withdrawn = false;
 
-  /// Whether a state was written for the present target.
+  /// Whether a state was written for the current target.
   bool hasState() const { return state != OrderState::kNew && stateTarget == target; }
-  /// Whether it has ended for the present target.
+  /// Whether the order has ended for the current target.
   bool ended() const {
     return hasState() && (state == OrderState::kCompleted || state == OrderState::kRolledBack);
   }
   bool operator==(const Order&) const = default;
 };
 
-/// Fails with kSettingsInvalid, saying why, for an order that can't be carried out: without a
-/// service or target, or with a duration of 0 or below.
+/// Fails with kSettingsInvalid and the reason if the order can't be executed: it has no service or
+/// target, or its duration is not above 0.
 Result<void> check(const Order& order);
 
 }  // namespace calicodrift::service_rollout
--- a/src/service_rollout/phase_watch.h
+++ b/src/service_rollout/phase_watch.h
@@ -7,12 +7,12 @@
 
 namespace calicodrift::service_rollout {
 
-/// Knows of one service what takes more than one look: how long its record has stood in its phase,
-/// and for how long nothing has run on the versions that the order's end lets stop. No I/O; told
-/// the time.
+/// Tracks per service what a single observation does not show: how long its record has been in its
+/// phase, and for how long no requests have run on the versions that may stop when the order ends.
+/// Performs no I/O; the caller passes the time.
 class PhaseWatch {
  public:
-  /// Fills in `phaseAge` and `drainedFor`.
+  /// Sets `phaseAge` and `drainedFor`.
   void observe(PlanInput& input, MonotonicTime now);
 
  private:
--- a/src/service_rollout/plan.h
+++ b/src/service_rollout/plan.h
@@ -13,35 +13,35 @@
 namespace calicodrift::service_rollout {
 
 struct PlanSettings {
-  /// Most of a service's requests that a candidate may get from the order to its deadline, and so
-  /// many beside.
+  /// Limit of the service's requests that a candidate may get from the order to its deadline:
+  /// `exposureShare` as a share of them, plus `exposureSlack` requests.
   double exposureShare = 0.1;
   double exposureSlack = 50;
 };
 
-/// How new a view of one kind of objects is.
+/// How recent the view of one kind of objects is.
 struct ViewProof {
-  /// Of the store, which the view has reached.
+  /// Store revision that the view has reached.
   store::Revision revision;
-  /// When the view was the newest state for certain.
+  /// Latest time at which the view was proven to be the newest state.
   MonotonicTime provenAt{};
 };
 
-/// What the holder of the lease knows of one service. To be built only from views that were read.
+/// What the lease holder knows of one service. Must be built only from views that have been read.
 struct PlanInput {
-  /// Nothing where the view of orders has none for the service.
+  /// Empty if the view of the orders has none for the service.
   std::optional<Order> order;
   std::optional<ServiceRecord> record;
-  /// The record's object can't be read any more: `record` is the last one that could be, under the
-  /// object's revision.
+  /// Whether the record's object has become unreadable: `record` is then the last readable one,
+  /// with the object's current revision.
   bool recordUnreadable = false;
-  /// The views that both were taken from.
+  /// The views that the order and the record were taken from.
   ViewProof orders;
   ViewProof records;
   /// The version that most servers had when this node first saw the service.
   SoftwareVersion firstSeen;
-  /// All nodes' sums for the record's order; `age` is the order's. Sums and verdict of another
-  /// order count as none.
+  /// Sums over all nodes for the record's order; `age` is the order's. Observations and verdict of
+  /// another order are ignored.
   OrderObservations seen;
   Verdict verdict = Verdict::kUndecided;
   /// Figures behind the verdict, for the log.
@@ -49,42 +49,42 @@
   /// Usable servers of each version, over all nodes.
   std::size_t stableServers = 0;
   std::size_t candidateServers = 0;
-  /// Requests that run on the stable version, and on any other, over all nodes.
+  /// Requests that run on the stable version and on any other, over all nodes.
   std::size_t stableInFlight = 0;
   std::size_t otherInFlight = 0;
-  /// Requests a second that reach the service, over all nodes.
+  /// Requests per second to the service, over all nodes.
   double requestsPerSecond = 0;
-  /// Filled in by PhaseWatch, as far as this node saw it: how long the record has stood in
-  /// its phase, and for how much of that, up to now, nothing has run on the versions that the
-  /// order's end lets stop: the stable one while shifting, else all others.
+  /// Set by PhaseWatch from this node's observations: how long the record has been in its phase,
+  /// and for how long up to now no requests have run on the versions that may stop when the order
+  /// ends: the stable version while shifting, else all others.
   Milliseconds phaseAge{0};
   Milliseconds drainedFor{0};
 };
 
 enum class PlanStep { kNothing, kWriteRecord, kWriteState };
 
-/// The next write of the lease holder. One at a time: after each the views are read again.
+/// The lease holder's next write. There is one at a time: the views are read again after each.
 struct PlanAction {
   PlanStep step = PlanStep::kNothing;
-  /// kWriteRecord.
+  /// For kWriteRecord.
   ServiceRecord record;
-  /// kWriteState: to the input's order.
+  /// For kWriteState: the state to write to the input's order.
   OrderState state = OrderState::kNew;
-  /// For the log: what decided it. Without figures where there is nothing to write, so that it
-  /// changes only with what is waited for; empty where nothing is waited for.
+  /// Reason for the decision, for the log. Has no figures if there is nothing to write, so that it
+  /// changes only with the awaited condition; empty if nothing is awaited.
   std::string reason;
 };
 
-/// Decides on the next write for one service. No I/O, and no state but what it is given, so that
-/// any successor goes on from what the store holds.
+/// Decides on the next write for one service. Performs no I/O and depends only on its arguments, so
+/// that any successor continues from what the store holds.
 ///
 /// Invariants: an order's state is written only after the record that decided it; the stable
 /// version changes only by a record in the shifting phase whose candidate it was; the record of an
 /// order that has ended never returns to baking for that order.
 PlanAction nextAction(const PlanInput& input, const PlanSettings& settings);
 
-/// For how long all of a service's requests may go to the candidate before the deadline, by what
-/// is left of its exposure.
+/// How long before the deadline all of a service's requests may go to the candidate, given its
+/// remaining exposure.
 Milliseconds shiftBudget(const PlanInput& input, const PlanSettings& settings);
 
 }  // namespace calicodrift::service_rollout
--- a/src/service_rollout/rollout_controller.cc
+++ b/src/service_rollout/rollout_controller.cc
@@ -11,7 +11,7 @@
 namespace asio = boost::asio;
 using asio::awaitable;
 
-std::string_view judgement(const PlanInput& input) {
+std::string_view describeVerdict(const PlanInput& input) {
   if (input.seen.rejected) {
     return "rejected by a node";
   }
@@ -25,7 +25,7 @@
   log::write(log::Level::kInfo, "service_rollout_verdict",
              {{"service", service},
               {"candidate", input.record->candidate.value()},
-              {"verdict", std::string(judgement(input))},
+              {"verdict", std::string(describeVerdict(input))},
               {"age_ms", std::to_string(input.seen.age.count())},
               {"exposed", std::to_string(input.seen.exposed)},
               {"reached", std::to_string(input.seen.reached)},
@@ -54,17 +54,17 @@
 struct RolloutController::ServiceState {
   explicit ServiceState(WritePacingSettings settings) : pacing(settings) {}
 
-  /// Nothing that an earlier tenure saw is used; its writes still count.
+  /// Discards the observations of an earlier tenure; pacing of its writes continues.
   void beginTenure() {
     phase = PhaseWatch();
     verdict = Verdict::kUndecided;
     rejected = false;
-    waitsFor.clear();
+    waitReason.clear();
   }
 
-  void noteVerdict(const std::string& service, const PlanInput& input) {
-    const bool underWay = input.record && input.record->phase != Phase::kSteady;
-    if (!underWay || input.seen.order != keyOf(*input.record)) {
+  void recordVerdict(const std::string& service, const PlanInput& input) {
+    const bool inProgress = input.record && input.record->phase != Phase::kSteady;
+    if (!inProgress || input.seen.order != keyOf(*input.record)) {
       return;
     }
     if (input.verdict != verdict || input.seen.rejected != rejected) {
@@ -74,21 +74,21 @@
     }
   }
 
-  void noteWaiting(const std::string& service, const std::string& reason) {
-    if (reason != waitsFor && !reason.empty()) {
+  void recordWaitReason(const std::string& service, const std::string& reason) {
+    if (reason != waitReason && !reason.empty()) {
       log::write(log::Level::kInfo, "service_rollout_waits",
                  {{"service", service}, {"reason", reason}});
     }
-    waitsFor = reason;
+    waitReason = reason;
   }
 
   WritePacing pacing;
   bool writing = false;
   PhaseWatch phase;
-  /// As logged last.
+  /// Values logged last.
   Verdict verdict = Verdict::kUndecided;
   bool rejected = false;
-  std::string waitsFor;
+  std::string waitReason;
 };
 
 RolloutController::RolloutController(asio::any_io_executor executor, RolloutPorts ports,
@@ -105,16 +105,16 @@
 
 awaitable<void> RolloutController::run() {
   for (;;) {
-    lookAtAll();
+    planAll();
     timer_.expires_after(settings_.interval);
     co_await timer_.async_wait(asio::use_awaitable);
   }
 }
 
-void RolloutController::lookAtAll() {
+void RolloutController::planAll() {
   const std::optional<FencingToken> token = ports_.token();
-  if (token != tenure_) {
-    tenure_ = token;
+  if (token != tenureToken_) {
+    tenureToken_ = token;
     for (const auto& [service, state] : services_) {
       state->beginTenure();
     }
@@ -123,30 +123,31 @@
     return;
   }
   const std::map<std::string, PlanInput> inputs = ports_.inputs();
-  forgetOthers(inputs);
+  removeOtherServices(inputs);
   for (const auto& [service, input] : inputs) {
-    lookAt(service, input);
+    planService(service, input);
   }
 }
 
-void RolloutController::lookAt(const std::string& service, PlanInput input) {
+void RolloutController::planService(const std::string& service, PlanInput input) {
   std::shared_ptr<ServiceState>& state = services_[service];
   if (!state) {
     state = std::make_shared<ServiceState>(settings_.pacing);
   }
   const MonotonicTime now = monotonicNow();
   state->phase.observe(input, now);
-  state->noteVerdict(service, input);
+  state->recordVerdict(service, input);
   if (state->writing || !state->pacing.mayWrite(input, now)) {
     return;
   }
   PlanAction action = nextAction(input, settings_.plan);
   if (action.step == PlanStep::kNothing) {
-    state->noteWaiting(service, action.reason);
+    state->recordWaitReason(service, action.reason);
     return;
   }
   state->writing = true;
-  asio::co_spawn(executor_, write(state, service, std::move(input), std::move(action), *tenure_),
+  asio::co_spawn(executor_,
+                 write(state, service, std::move(input), std::move(action), *tenureToken_),
                  asio::detached);
 }
 
@@ -156,7 +157,7 @@
     state->writing = false;
     co_return;
   }
-  const Result<store::Revision> written = co_await carryOut(input, action);
+  const Result<store::Revision> written = co_await executeAction(input, action);
   logWrite(service, input, action, written);
   if (written) {
     state->pacing.onWritten(action.step, written.value(), monotonicNow());
@@ -166,15 +167,15 @@
   state->writing = false;
 }
 
-RolloutPorts::Written RolloutController::carryOut(const PlanInput& input,
-                                                  const PlanAction& action) const {
+RolloutPorts::Written RolloutController::executeAction(const PlanInput& input,
+                                                       const PlanAction& action) const {
   if (action.step == PlanStep::kWriteRecord) {
     return ports_.writeRecord(action.record);
   }
   return ports_.writeState(*input.order, action.state);
 }
 
-void RolloutController::forgetOthers(const std::map<std::string, PlanInput>& inputs) {
+void RolloutController::removeOtherServices(const std::map<std::string, PlanInput>& inputs) {
   std::erase_if(services_, [&inputs](const auto& entry) {
     return !inputs.contains(entry.first) && !entry.second->writing;
   });
--- a/src/service_rollout/service_record.cc
+++ b/src/service_rollout/service_record.cc
@@ -18,7 +18,7 @@
   return json::value_to<std::string>(object.at(name));
 }
 
-/// The one of `values` that is written as `text`.
+/// Returns the value whose text form is `text`.
 template <typename Values>
 Result<typename Values::value_type> valueNamed(const Values& values, const std::string& text) {
   for (const auto value : values) {
@@ -29,12 +29,12 @@
   return fail(ErrorKind::kProtocolViolation, "unknown value '" + text + "'");
 }
 
-/// What the fields say has to fit together, as nodes send requests by it.
+/// Checks that the fields are consistent, as nodes route requests by them.
 Result<void> checkConsistent(const ServiceRecord& record) {
-  const bool underWay = record.phase != Phase::kSteady;
-  if (record.stable.value().empty() || underWay == record.candidate.value().empty()) {
+  const bool inProgress = record.phase != Phase::kSteady;
+  if (record.stable.value().empty() || inProgress == record.candidate.value().empty()) {
     return fail(ErrorKind::kProtocolViolation,
-                "record '" + record.service + "' lacks a version of its phase");
+                "record '" + record.service + "' has versions that don't match its phase");
   }
   return boost::outcome_v2::success();
 }
--- a/src/service_rollout/service_record.h
+++ b/src/service_rollout/service_record.h
@@ -10,22 +10,22 @@
 
 namespace calicodrift::service_rollout {
 
-/// How far an order has come.
+/// Progress of an order.
 enum class Phase {
-  /// No order is under way: the stable version gets everything.
+  /// No order is in progress: the stable version gets all traffic.
   kSteady,
-  /// The candidate gets a bounded share, the canary; the rest goes to the stable version.
+  /// The candidate gets a bounded share (canary); the rest goes to the stable version.
   kBaking,
-  /// The candidate gets everything, and what runs on the stable version is waited for.
+  /// The candidate gets all traffic while requests on the stable version finish.
   kShifting,
 };
 std::string_view toString(Phase phase);
 
-/// What must outlive every node about a service's versions: one object a service in the store,
-/// written by the lease holder under a condition, read by all nodes along the relay tree.
+/// Persistent state of a service's versions: one object per service in the store, written
+/// conditionally by the lease holder and read by all nodes through the relay tree.
 ///
-/// Invariant: it is written before any node may act on it, as nodes act on what they read of it. So
-/// whichever nodes are lost, their successors find which version is the stable one.
+/// Invariant: it is written before any node may act on it, as nodes act on what they read of it.
+/// Whichever nodes are lost, their successors can determine the stable version.
 struct ServiceRecord {
   std::string service;
   SoftwareVersion stable;
@@ -33,29 +33,29 @@
   SoftwareVersion candidate;
   Phase phase = Phase::kSteady;
   /// The order's revision when it was accepted, before a state was written to it; 0 in the steady
-  /// phase where no order was ever accepted. Kept after the end, so that the same order is not
-  /// accepted again where its state was not written. After an end without an outcome it is the
-  /// revision of the view of orders that showed the end: nothing is decided on an older one.
+  /// phase if no order was ever accepted. Kept after the end, so that the same order is not
+  /// accepted again if its state was not written. After an end without an outcome, it is the
+  /// revision of the view of the orders that showed the end: no decision is based on an older one.
   store::Revision order;
-  /// How the order ended, in the steady phase; kNew where there was none. Lets a successor write
-  /// the order's state where the last holder was lost in between.
+  /// How the order ended, in the steady phase; kNew if there was none. Allows a successor to write
+  /// the order's state if the last holder was lost in between.
   OrderState outcome = OrderState::kNew;
   /// Target of that order.
   SoftwareVersion outcomeTarget;
-  /// Of this object in the store; 0: not written yet.
+  /// Revision of this object in the store; 0 if not written yet.
   store::Revision revision;
 
   bool operator==(const ServiceRecord&) const = default;
 };
 
-/// The kind of these objects, which are the product's own; each is named by its service.
+/// Kind of these objects, which is defined by this product; each object is named after its service.
 inline constexpr std::string_view kRecordKind = "calicodrift-service-versions";
 
-/// Between the record and its object. Reading fails with kProtocolViolation.
+/// Conversions between the record and its object. Reading fails with kProtocolViolation.
 store::Object toObject(const ServiceRecord& record);
 Result<ServiceRecord> toRecord(const store::Object& object);
 
-/// Names the order that the record says is under way.
+/// Identifies the order that the record shows as in progress.
 OrderKey keyOf(const ServiceRecord& record);
 
 }  // namespace calicodrift::service_rollout
--- a/src/service_rollout/traffic_rules.cc
+++ b/src/service_rollout/traffic_rules.cc
@@ -5,10 +5,10 @@
 namespace calicodrift::service_rollout {
 namespace {
 
-/// The version with most servers, without `except`; the first by name of several. Empty where there
-/// is none.
-SoftwareVersion mostListed(const std::map<SoftwareVersion, std::size_t>& listed,
-                           const SoftwareVersion& except) {
+/// Returns the version with the most servers other than `except`; the first by name if several have
+/// as many. Empty if there is none.
+SoftwareVersion mostCommonVersion(const std::map<SoftwareVersion, std::size_t>& listed,
+                                  const SoftwareVersion& except) {
   SoftwareVersion most;
   std::size_t servers = 0;
   for (const auto& [version, count] : listed) {
@@ -20,7 +20,7 @@
   return most;
 }
 
-/// Of no server.
+/// A version that no server has.
 const SoftwareVersion kNoVersion("(orders not read)");
 
 }  // namespace
@@ -69,7 +69,7 @@
 void TrafficRules::setListed(const std::string& service,
                              const std::map<SoftwareVersion, std::size_t>& listed) {
   listed_[service] = listed;
-  held_.erase(service);
+  heldServices_.erase(service);
   const auto known = firstSeen_.find(service);
   const bool stillListed = known != firstSeen_.end() && listed.contains(known->second);
   if (stillListed) {
@@ -78,7 +78,7 @@
   const Order* order = orderOf(service);
   const bool candidateListed = order != nullptr && !order->ended();
   const SoftwareVersion most =
-      mostListed(listed, candidateListed ? order->target : SoftwareVersion());
+      mostCommonVersion(listed, candidateListed ? order->target : SoftwareVersion());
   if (!most.value().empty()) {
     firstSeen_[service] = most;
   }
@@ -115,37 +115,37 @@
   for (const auto& [service, versions] : listed_) {
     all.insert(service);
   }
-  all.insert(held_.begin(), held_.end());
+  all.insert(heldServices_.begin(), heldServices_.end());
   return all;
 }
 
 SoftwareVersion TrafficRules::stableOf(const std::string& service) const {
   const Order* order = orderOf(service);
   if (order != nullptr && order->hasState() && order->state == OrderState::kCompleted) {
-    // Its record was written before, but may not have been read here yet.
+    // The order's record was written before, but may not have been read here yet.
     return order->target;
   }
   const ServiceRecord* record = recordOf(service);
   return record != nullptr ? record->stable : firstSeen(service);
 }
 
-bool TrafficRules::stands(const Order& order, const ServiceRecord& record) {
+bool TrafficRules::isStillAccepted(const Order& order, const ServiceRecord& record) {
   return !order.withdrawn && !order.ended() && order.target == record.candidate;
 }
 
 TrafficRule TrafficRules::ruleFor(const std::string& service, MonotonicTime provenAt,
                                   MonotonicTime now) const {
   TrafficRule rule;
-  if (held_.contains(service)) {
+  if (heldServices_.contains(service)) {
     rule.stable = kNoVersion;
     return rule;
   }
   rule.stable = stableOf(service);
   const ServiceRecord* record = recordOf(service);
   const Order* order = orderOf(service);
-  const bool underWay = record != nullptr && record->phase != Phase::kSteady && order != nullptr &&
-                        stands(*order, *record);
-  if (!underWay) {
+  const bool inProgress = record != nullptr && record->phase != Phase::kSteady &&
+                          order != nullptr && isStillAccepted(*order, *record);
+  if (!inProgress) {
     return rule;
   }
   rule.candidate = record->candidate;
--- a/src/service_rollout/traffic_rules.h
+++ b/src/service_rollout/traffic_rules.h
@@ -13,17 +13,17 @@
 
 namespace calicodrift::service_rollout {
 
-/// What requests of a service the candidate may get now.
+/// Which requests of a service the candidate may get now.
 enum class CandidateUse { kNothing, kCanary, kEverything };
 std::string_view toString(CandidateUse use);
 
-/// Which versions of a service may run requests now. Every other version gets nothing.
+/// Which versions of a service may run requests now. All other versions get none.
 struct TrafficRule {
-  /// Empty: the service's versions were never told apart, and all of them may run requests.
+  /// Empty if the service's versions were never distinguished; all of them may run requests then.
   SoftwareVersion stable;
   SoftwareVersion candidate;
   CandidateUse use = CandidateUse::kNothing;
-  /// The order under way; 0 where there is none.
+  /// The order in progress; 0 if there is none.
   OrderKey order;
 
   bool operator==(const TrafficRule&) const = default;
@@ -31,42 +31,45 @@
 
 struct TrafficRulesSettings {
   /// A candidate gets requests only while the node's view of orders and records is proven to be
-  /// newer than this: the permit of a node that is cut off ends by itself. With what judging takes
-  /// it has to stay below the deployment's bound from a bad version's last tolerated answer to its
-  /// last request.
+  /// newer than this, so that the permit of a disconnected node expires by itself. Together with
+  /// the time needed to judge, it must stay below the deployment's bound from a bad version's last
+  /// tolerated answer to its last request.
   Milliseconds permitTerm{1500};
 };
 
-/// Each service's rule at this node, from what it has read of orders, records and listed servers,
-/// and from the verdict of the nodes. No I/O; calls are told the time.
+/// Determines each service's rule at this node from the orders, records and listed servers it has
+/// read, and from the nodes' verdict. Performs no I/O; the caller passes the time.
 ///
 /// Invariant: a version runs requests only if it is the stable one, or an order names it, a record
-/// accepts that order, and the permit has not run out. The stable one is the record's, or where
-/// there is none the one that most servers had when the service was first seen here.
+/// accepts that order, and the permit has not expired. The stable version is the record's, or
+/// without a record the one that most servers had when the service was first seen here.
 class TrafficRules {
  public:
   explicit TrafficRules(TrafficRulesSettings settings) : settings_(settings) {}
 
-  /// Replaces all orders, or records, that are known.
+  /// Replaces all known orders or records.
   void setOrders(const std::vector<Order>& orders);
   void setRecords(const std::vector<ServiceRecord>& records);
   void applyOrder(const Order& order);
   void removeOrder(const std::string& name);
   void applyRecord(const ServiceRecord& record);
-  /// Servers in use of each version of the service, as listed now. To be called only when the
-  /// orders were read, as a candidate's servers would else be taken for the stable version's.
+  /// Sets the number of servers in use of each version of the service, as listed now. Call it only
+  /// once the orders have been read, as a candidate's servers would otherwise be taken for the
+  /// stable version's.
   void setListed(const std::string& service, const std::map<SoftwareVersion, std::size_t>& listed);
-  /// Servers of several versions are listed, and the orders were not read yet: which one is the
-  /// stable version can't be told, so that none of them gets anything.
-  void hold(const std::string& service) { held_.insert(service); }
-  /// The nodes have found the order's candidate to be bad. Holds for as long as the process runs.
+  /// Stops all traffic of the service: servers of several versions are listed, but the orders have
+  /// not been read yet, so the stable version can't be determined.
+  void hold(const std::string& service) { heldServices_.insert(service); }
+  /// Records that the nodes have found the order's candidate to be bad. Applies for the lifetime of
+  /// the process.
   void reject(OrderKey order) { rejected_.insert(order); }
   bool rejected(OrderKey order) const { return rejected_.contains(order); }
 
-  /// @param provenAt when the views of orders and of records were both the newest for certain.
+  /// @param provenAt latest time at which the views of orders and of records were both proven to be
+  /// the newest state.
   TrafficRule ruleFor(const std::string& service, MonotonicTime provenAt, MonotonicTime now) const;
   const ServiceRecord* recordOf(const std::string& service) const;
-  /// The service's order that was written last; null where there is none.
+  /// The service's most recently written order; null if there is none.
   const Order* orderOf(const std::string& service) const;
   /// The version that most servers had when the service was first seen; empty before.
   SoftwareVersion firstSeen(const std::string& service) const;
@@ -75,8 +78,8 @@
 
  private:
   SoftwareVersion stableOf(const std::string& service) const;
-  /// Whether the order still stands as the record accepted it.
-  static bool stands(const Order& order, const ServiceRecord& record);
+  /// Whether the order still matches what the record accepted.
+  static bool isStillAccepted(const Order& order, const ServiceRecord& record);
 
   TrafficRulesSettings settings_;
   std::map<std::string, Order> orders_;
@@ -85,7 +88,7 @@
   /// By service: the version that most servers had when it was first seen.
   std::map<std::string, SoftwareVersion> firstSeen_;
   std::set<OrderKey> rejected_;
-  std::set<std::string> held_;
+  std::set<std::string> heldServices_;
 };
 
 }  // namespace calicodrift::service_rollout
--- a/src/service_rollout/write_pacing.h
+++ b/src/service_rollout/write_pacing.h
@@ -10,20 +10,22 @@
 namespace calicodrift::service_rollout {
 
 struct WritePacingSettings {
-  /// Longest wait for the views to show a write that succeeded. They do after 250 ms mostly; where
-  /// they don't, the condition of the next write fails and does no harm.
-  Milliseconds longestViewWait{1000};
-  /// First pause after a failed write; doubles up to the longest, with jitter. A store that
-  /// recovers is written to within the longest, which has to be well below an order's shortest
-  /// duration of some seconds.
-  Milliseconds firstPause{100};
-  Milliseconds longestPause{1600};
+  /// Maximum wait for the views to show a successful write. They usually do after 250 ms; if they
+  /// don't, the condition of the next write fails without harm.
+  Milliseconds maxViewWait{1000};
+  /// Initial pause after a failed write; doubles up to the maximum, with jitter. A recovered store
+  /// is written to within the maximum, which must be well below an order's shortest duration of
+  /// some seconds.
+  Milliseconds initialPause{100};
+  Milliseconds maxPause{1600};
 };
 
-/// When the lease holder may write next for one service. No I/O; calls are told the time.
+/// Determines when the lease holder may write next for one service. Performs no I/O; the caller
+/// passes the time.
 ///
-/// Invariant: no write is repeated blindly. After one that succeeded the views show it first, and
-/// after one that may have been done the views were the newest state at a later time.
+/// Invariant: no write is repeated blindly. After a successful write the views must show it first,
+/// and after one that may have been applied the views must have been the newest state at a later
+/// time.
 class WritePacing {
  public:
   explicit WritePacing(WritePacingSettings settings) : settings_(settings) {}
@@ -36,12 +38,12 @@
   Milliseconds nextPause(std::mt19937_64& random);
 
   WritePacingSettings settings_;
-  /// What the views of orders and of records have to show, until `viewsDue_`.
-  store::Revision ordersNeeded_;
-  store::Revision recordsNeeded_;
-  MonotonicTime viewsDue_{};
-  /// Both views have to be proven later than this.
-  std::optional<MonotonicTime> proofNeeded_;
+  /// Revisions that the views of orders and of records must reach, until `viewDeadline_`.
+  store::Revision minOrdersRevision_;
+  store::Revision minRecordsRevision_;
+  MonotonicTime viewDeadline_{};
+  /// Both views must be proven later than this.
+  std::optional<MonotonicTime> minProofTime_;
   MonotonicTime notBefore_{};
   unsigned failures_ = 0;
 };
--- a/tests/service_rollout/canary_budget_test.cc
+++ b/tests/service_rollout/canary_budget_test.cc
@@ -10,20 +10,20 @@
 const OrderKey kOrder(7);
 const RouteKey kRoute(3);
 
-/// One order's course over a fleet whose nodes get very different traffic.
-struct Course {
+/// Result of one order over a fleet whose nodes get very different traffic.
+struct SimulationResult {
   std::uint64_t requests = 0;
   std::uint64_t exposed = 0;
-  /// No account has spent more than its share and 1.
+  /// Whether no account has spent more than its share plus 1.
   bool withinEachAccount = true;
 };
 
 /// @param restarts whether every third node loses its accounts halfway.
-Course play(std::size_t nodes, std::uint64_t seed, bool restarts) {
+SimulationResult simulateOrder(std::size_t nodes, std::uint64_t seed, bool restarts) {
   std::mt19937_64 random(seed);
-  // Half of the nodes get 0 to 20 requests, some thousands.
+  // Half of the nodes get 0 to 20 requests, some get thousands.
   std::exponential_distribution<double> traffic(1.0 / 60);
-  Course course;
+  SimulationResult result;
   for (std::size_t node = 0; node < nodes; ++node) {
     CanaryBudget budget(kShare, random());
     const auto requests = static_cast<std::uint64_t>(std::pow(traffic(random), 1.3) / 4);
@@ -34,15 +34,15 @@
       }
       spent += budget.take(kOrder, kRoute) ? 1 : 0;
     }
-    const double most = kShare * static_cast<double>(requests) + (restarts ? 2 : 1);
-    course.withinEachAccount = course.withinEachAccount && static_cast<double>(spent) <= most;
-    course.requests += requests;
-    course.exposed += spent;
+    const double maxExposed = kShare * static_cast<double>(requests) + (restarts ? 2 : 1);
+    result.withinEachAccount = result.withinEachAccount && static_cast<double>(spent) <= maxExposed;
+    result.requests += requests;
+    result.exposed += spent;
   }
-  return course;
+  return result;
 }
 
-/// What the rounding of so many accounts gives at most in all but 1 of 10^6 orders.
+/// Bound on the rounding error of the given number of accounts in all but 1 of 10^6 orders.
 double roundingOf(std::size_t accounts) {
   return 2.7 * std::sqrt(static_cast<double>(accounts));
 }
@@ -51,29 +51,29 @@
 
 BOOST_AUTO_TEST_SUITE(canary_budget)
 
-BOOST_AUTO_TEST_CASE(theFleetStaysAtTheShareWithoutAMessage) {
+BOOST_AUTO_TEST_CASE(fleetStaysAtTheShareWithoutCommunication) {
   for (const std::size_t nodes : {2U, 73U, 3800U}) {
     const std::uint64_t seeds = nodes > 1000 ? 40 : 400;
     double deviations = 0;
     for (std::uint64_t seed = 0; seed < seeds; ++seed) {
-      const Course course = play(nodes, seed, false);
-      const double share = kShare * static_cast<double>(course.requests);
-      BOOST_TEST(course.withinEachAccount);
-      BOOST_TEST(static_cast<double>(course.exposed) <= share + roundingOf(nodes));
-      deviations += static_cast<double>(course.exposed) - share;
+      const SimulationResult result = simulateOrder(nodes, seed, false);
+      const double share = kShare * static_cast<double>(result.requests);
+      BOOST_TEST(result.withinEachAccount);
+      BOOST_TEST(static_cast<double>(result.exposed) <= share + roundingOf(nodes));
+      deviations += static_cast<double>(result.exposed) - share;
     }
-    // Neither more nor less in the mean: nodes that get few requests would else send none.
+    // The mean deviation is 0: otherwise nodes with few requests would send none to the candidate.
     BOOST_TEST(std::abs(deviations) <= roundingOf(nodes * seeds));
   }
 }
 
-BOOST_AUTO_TEST_CASE(aRestartStartsAnewAndKeepsTheShareInTheMean) {
+BOOST_AUTO_TEST_CASE(restartedNodesKeepTheShareOnAverage) {
   constexpr std::size_t kNodes = 73;
   for (std::uint64_t seed = 0; seed < 400; ++seed) {
-    const Course course = play(kNodes, seed, true);
-    const double share = kShare * static_cast<double>(course.requests);
-    BOOST_TEST(course.withinEachAccount);
-    BOOST_TEST(static_cast<double>(course.exposed) <= share + roundingOf(2 * kNodes));
+    const SimulationResult result = simulateOrder(kNodes, seed, true);
+    const double share = kShare * static_cast<double>(result.requests);
+    BOOST_TEST(result.withinEachAccount);
+    BOOST_TEST(static_cast<double>(result.exposed) <= share + roundingOf(2 * kNodes));
   }
 }
 
@@ -89,7 +89,7 @@
   BOOST_TEST((exposed[1] == 5 || exposed[1] == 6));
 }
 
-BOOST_AUTO_TEST_CASE(aSmallerShareHoldsFromNowOn) {
+BOOST_AUTO_TEST_CASE(smallerShareAppliesImmediately) {
   CanaryBudget budget(0.5, 1);
   int exposed = 0;
   for (int request = 0; request < 100; ++request) {
@@ -104,7 +104,7 @@
   BOOST_TEST((later >= 9 && later <= 11));
 }
 
-BOOST_AUTO_TEST_CASE(twoOrdersAtOnceHaveAccountsOfTheirOwn) {
+BOOST_AUTO_TEST_CASE(concurrentOrdersHaveSeparateAccounts) {
   CanaryBudget budget(kShare, 1);
   int first = 0;
   int second = 0;
@@ -121,10 +121,10 @@
   for (std::uint64_t order = 1; order <= 1000; ++order) {
     BOOST_TEST(budget.take(OrderKey(order), kRoute));
   }
-  BOOST_TEST(budget.orders() == CanaryBudget::kMostOrders);
+  BOOST_TEST(budget.orders() == CanaryBudget::kMaxOrders);
 }
 
-BOOST_AUTO_TEST_CASE(requestsThatReachedNoServerEarnNothing) {
+BOOST_AUTO_TEST_CASE(refundedRequestsEarnNoExposure) {
   CanaryBudget budget(0.1, 1);
   const OrderKey order(7);
   const RouteKey route(9);
--- a/tests/service_rollout/judge_play.h
+++ b/tests/service_rollout/judge_scenario.h
@@ -11,69 +11,72 @@
 
 #include "service_rollout/judge.h"
 
-/// Orders with drawn answers of both versions, for the tests of the judge.
+/// Simulated orders with random answers of both versions, for the tests of the judge.
 namespace calicodrift::service_rollout {
 
-/// How some answers of a version differ from a sound one's.
-struct Badness {
+/// How some answers of a version differ from a sound version's.
+struct Defect {
   double failing = 0;
   double slow = 0;
   double slowBy = 1;
-  /// Since the order.
+  /// Start of the defect, in seconds since the order.
   double fromSecond = 0;
-  /// Nothing: on all routes.
+  /// Empty for all routes.
   std::optional<std::size_t> route = std::nullopt;
 };
 
-struct Play {
+struct Scenario {
   double requestsPerSecond = 228;
   double seconds = 30;
   double canaryShare = 0.1;
-  Badness candidate;
-  Badness stable;
-  /// Of sound answers of either version: share of failures, and deviation of the logarithm of their
-  /// times.
-  double noiseFailing = 0.01;
-  double noiseSpread = 0.5;
+  Defect candidate;
+  Defect stable;
+  /// For sound answers of either version: share of failures, and standard deviation of the
+  /// logarithm of their times.
+  double baseFailureRate = 0.01;
+  double latencyDeviation = 0.5;
   std::array<double, 2> routeShares = {0.6, 0.4};
   std::size_t nodes = 1;
-  /// The chance that a node is lost and begins anew, a second and node.
+  /// Probability per second that a node is lost and restarts without its counts.
   double restartsPerSecond = 0;
-  /// Whether answers say anything of speed.
-  bool timed = true;
+  /// Whether answers carry times.
+  bool hasTimes = true;
   double stableEndsAt = 1e9;
 };
 
-struct PlayResult {
-  /// Nothing: not by the end.
+struct ScenarioResult {
+  /// Empty if not rejected by the end.
   std::optional<double> rejectedAt;
-  /// Answers of the candidate until the rejection or the end, and those its badness made bad.
+  /// Answers of the candidate until the rejection or the end, and those made bad by its defect.
   std::uint64_t answers = 0;
   std::uint64_t bad = 0;
   Verdict verdict = Verdict::kUndecided;
 };
 
-/// Told the sums each 100 ms; whether the candidate is rejected.
+/// Receives the sums every 100 ms; returns whether the candidate is rejected.
 using Rejects = std::function<bool(const OrderObservations&, MonotonicTime)>;
 
-class Player {
+class ScenarioRunner {
  public:
-  Player(const Play& play, std::uint64_t seed)
-      : play_(play), random_(seed), sigma_(0, play.noiseSpread), nodes_(play.nodes) {}
+  ScenarioRunner(const Scenario& scenario, std::uint64_t seed)
+      : scenario_(scenario),
+        random_(seed),
+        sigma_(0, scenario.latencyDeviation),
+        nodes_(scenario.nodes) {}
 
-  PlayResult run(const Rejects& rejects) {
+  ScenarioResult run(const Rejects& rejects) {
     constexpr double kTick = 0.1;
-    std::poisson_distribution<int> arrivals(play_.requestsPerSecond * kTick);
-    const auto ticks = static_cast<int>(std::lround(play_.seconds / kTick));
+    std::poisson_distribution<int> arrivals(scenario_.requestsPerSecond * kTick);
+    const auto ticks = static_cast<int>(std::lround(scenario_.seconds / kTick));
     for (int tick = 1; tick <= ticks; ++tick) {
-      second_ = tick * kTick;
+      elapsed_ = tick * kTick;
       restart(kTick);
       for (int count = arrivals(random_); count > 0; --count) {
-        answer();
+        generateAnswer();
       }
       const MonotonicTime now = MonotonicTime() + Milliseconds(100'000 + 100 * tick);
       if (rejects(sum(), now)) {
-        result_.rejectedAt = second_;
+        result_.rejectedAt = elapsed_;
         break;
       }
     }
@@ -85,31 +88,31 @@
 
   void restart(double seconds) {
     for (OrderObservations& node : nodes_) {
-      if (play_.restartsPerSecond > 0 && chance(play_.restartsPerSecond * seconds)) {
+      if (scenario_.restartsPerSecond > 0 && chance(scenario_.restartsPerSecond * seconds)) {
         node = {};
       }
     }
   }
 
-  void answer() {
-    const std::size_t route = chance(play_.routeShares[0]) ? 0 : 1;
-    const Track track = chance(play_.canaryShare) ? Track::kCandidate : Track::kStable;
-    if (track == Track::kStable && second_ > play_.stableEndsAt) {
+  void generateAnswer() {
+    const std::size_t route = chance(scenario_.routeShares[0]) ? 0 : 1;
+    const Track track = chance(scenario_.canaryShare) ? Track::kCandidate : Track::kStable;
+    if (track == Track::kStable && elapsed_ > scenario_.stableEndsAt) {
       return;
     }
-    const Badness& badness = track == Track::kCandidate ? play_.candidate : play_.stable;
-    const bool affected = second_ >= badness.fromSecond && badness.route.value_or(route) == route;
-    const bool badFailure = affected && chance(badness.failing);
-    const bool slow = affected && !badFailure && chance(badness.slow);
-    const bool failed = badFailure || chance(play_.noiseFailing);
+    const Defect& defect = track == Track::kCandidate ? scenario_.candidate : scenario_.stable;
+    const bool affected = elapsed_ >= defect.fromSecond && defect.route.value_or(route) == route;
+    const bool badFailure = affected && chance(defect.failing);
+    const bool slow = affected && !badFailure && chance(defect.slow);
+    const bool failed = badFailure || chance(scenario_.baseFailureRate);
     RouteSample& sample =
         nodes_[std::uniform_int_distribution<std::size_t>(0, nodes_.size() - 1)(random_)]
             .routes[RouteKey(route + 1)][static_cast<std::size_t>(track)];
     ++sample.answered;
     if (failed) {
       ++sample.failed;
-    } else if (play_.timed) {
-      const double factor = slow ? badness.slowBy : 1;
+    } else if (scenario_.hasTimes) {
+      const double factor = slow ? defect.slowBy : 1;
       ++sample.start[ratioBucket(factor * std::exp(sigma_(random_)))];
       ++sample.pace[ratioBucket(factor * std::exp(sigma_(random_)))];
     }
@@ -127,19 +130,19 @@
     return total;
   }
 
-  Play play_;
+  Scenario scenario_;
   std::mt19937_64 random_;
   std::uniform_real_distribution<double> uniform_{0, 1};
   std::normal_distribution<double> sigma_;
   std::vector<OrderObservations> nodes_;
-  double second_ = 0;
-  PlayResult result_;
+  double elapsed_ = 0;
+  ScenarioResult result_;
 };
 
-inline PlayResult playWithJudge(const Play& play, std::uint64_t seed) {
+inline ScenarioResult runWithJudge(const Scenario& scenario, std::uint64_t seed) {
   Judge judge{JudgeSettings()};
-  PlayResult result =
-      Player(play, seed).run([&judge](const OrderObservations& sum, MonotonicTime now) {
+  ScenarioResult result =
+      ScenarioRunner(scenario, seed).run([&judge](const OrderObservations& sum, MonotonicTime now) {
         return judge.update(sum, now) == Verdict::kBad;
       });
   result.verdict = judge.verdict();
--- a/tests/service_rollout/judge_table_test.cc
+++ b/tests/service_rollout/judge_table_test.cc
@@ -4,16 +4,16 @@
 #include <sstream>
 #include <string>
 
-#include "judge_play.h"
+#include "judge_scenario.h"
 
-/// The table of docs/design/service-rollouts.md: chances to find a bad version, beside those of
-/// another way to judge. JUDGE_TABLE_ORDERS sets how many orders are drawn for each cell,
-/// JUDGE_TABLE_SHARE the share of the requests that the candidate gets.
+/// Produces the table of docs/design/service-rollouts.md: probabilities of detecting a bad version,
+/// compared with another method. JUDGE_TABLE_ORDERS sets the number of simulated orders for each
+/// cell, JUDGE_TABLE_SHARE the candidate's share of the requests.
 namespace calicodrift::service_rollout {
 namespace {
 
-/// The other way: the last window of both versions compared as a whole, by the chance that a sound
-/// version has as many bad answers (binomial tail).
+/// The other method: compares the last window of both versions as a whole, by the probability that
+/// a sound version has as many bad answers (binomial tail).
 class WindowTest {
  public:
   bool rejects(const OrderObservations& sum, MonotonicTime /*now*/) {
@@ -38,15 +38,15 @@
   using Samples = std::array<RouteSample, kTracks>;
   static constexpr std::size_t kTicks = 50;
   /// As strict as the judge's threshold, e^-12.
-  static constexpr double kLeastChance = 6e-6;
+  static constexpr double kMinProbability = 6e-6;
   inline static const RouteKey kAll{0};
 
   static void add(Samples& sum, const Samples& more) {
     sum[0] += more[0];
     sum[1] += more[1];
   }
-  static std::uint32_t from(const RatioHistogram& now, const RatioHistogram& old,
-                            std::size_t bucket) {
+  static std::uint32_t countFrom(const RatioHistogram& now, const RatioHistogram& old,
+                                 std::size_t bucket) {
     std::uint32_t count = 0;
     for (; bucket < kRatioBuckets; ++bucket) {
       count += now[bucket] - old[bucket];
@@ -59,24 +59,24 @@
       return false;
     }
     const double failing = (now[0].failed - old[0].failed) / answers;
-    return unlikely(now[1].failed - old[1].failed, now[1].answered - old[1].answered,
-                    std::max(failing, 0.01)) ||
+    return isUnlikely(now[1].failed - old[1].failed, now[1].answered - old[1].answered,
+                      std::max(failing, 0.01)) ||
            slow(now, old, &RouteSample::start) || slow(now, old, &RouteSample::pace);
   }
-  /// Slow: an octave above what 1 in 20 stable answers pass.
+  /// Slow answers: an octave above the time that 1 in 20 stable answers exceed.
   static bool slow(const Samples& now, const Samples& old, RatioHistogram RouteSample::*ratios) {
-    const double stable = from(now[0].*ratios, old[0].*ratios, 0);
+    const double stable = countFrom(now[0].*ratios, old[0].*ratios, 0);
     std::size_t bucket = 0;
     while (bucket + 1 < kRatioBuckets &&
-           from(now[0].*ratios, old[0].*ratios, bucket) > 0.05 * stable) {
+           countFrom(now[0].*ratios, old[0].*ratios, bucket) > 0.05 * stable) {
       ++bucket;
     }
     const std::size_t cut = std::min(bucket + 2, kRatioBuckets - 1);
-    const double share = from(now[0].*ratios, old[0].*ratios, cut) / std::max(stable, 1.0);
-    return unlikely(from(now[1].*ratios, old[1].*ratios, cut),
-                    from(now[1].*ratios, old[1].*ratios, 0), std::max(share, 0.02));
+    const double share = countFrom(now[0].*ratios, old[0].*ratios, cut) / std::max(stable, 1.0);
+    return isUnlikely(countFrom(now[1].*ratios, old[1].*ratios, cut),
+                      countFrom(now[1].*ratios, old[1].*ratios, 0), std::max(share, 0.02));
   }
-  static bool unlikely(std::uint32_t bad, std::uint32_t answers, double share) {
+  static bool isUnlikely(std::uint32_t bad, std::uint32_t answers, double share) {
     const double all = answers;
     if (bad <= share * all) {
       return false;
@@ -87,7 +87,7 @@
           std::exp(std::lgamma(all + 1) - std::lgamma(count + 1) - std::lgamma(all - count + 1) +
                    count * std::log(share) + (all - count) * std::log(1 - share));
     }
-    return tail < kLeastChance;
+    return tail < kMinProbability;
   }
 
   std::vector<std::map<RouteKey, Samples>> history_;
@@ -96,7 +96,7 @@
 
 struct Kind {
   std::string name;
-  Badness badness;
+  Defect defect;
 };
 
 const std::vector<Kind>& kinds() {
@@ -132,12 +132,12 @@
   return wanted == nullptr ? kDefault : std::stod(wanted);
 }
 
-/// By 8, 12 and 30 s, and the median of bad answers until the rejection.
+/// Rejections within 8, 12 and 30 s, and the bad answers until each rejection.
 struct Cell {
   std::array<std::size_t, 3> rejected{};
   std::vector<std::uint64_t> bad;
 
-  void add(const PlayResult& result) {
+  void add(const ScenarioResult& result) {
     if (!result.rejectedAt) {
       return;
     }
@@ -164,7 +164,7 @@
 
 BOOST_AUTO_TEST_SUITE(judge_table)
 
-BOOST_AUTO_TEST_CASE(cumulativeRatiosFindNoLessThanWindows) {
+BOOST_AUTO_TEST_CASE(cumulativeRatiosDetectNoLessThanWindows) {
   const std::size_t orders = ordersPerCell();
   std::ostringstream table;
   table << "| badness | requests/s | judge: by 8, 12, 30 s | bad answers | windows: by 8, 12, 30 s "
@@ -174,19 +174,19 @@
       Cell judged;
       Cell windows;
       for (std::size_t seed = 0; seed < orders; ++seed) {
-        Play play;
-        play.candidate = kind.badness;
-        play.requestsPerSecond = requestsPerSecond;
-        play.canaryShare = canaryShare();
-        judged.add(playWithJudge(play, seed));
+        Scenario scenario;
+        scenario.candidate = kind.defect;
+        scenario.requestsPerSecond = requestsPerSecond;
+        scenario.canaryShare = canaryShare();
+        judged.add(runWithJudge(scenario, seed));
         WindowTest test;
-        windows.add(Player(play, seed).run([&test](const auto& sum, MonotonicTime now) {
+        windows.add(ScenarioRunner(scenario, seed).run([&test](const auto& sum, MonotonicTime now) {
           return test.rejects(sum, now);
         }));
       }
       table << "| " << kind.name << " | " << requestsPerSecond << " | " << judged.text(orders)
             << " | " << windows.text(orders) << " |\n";
-      if (kind.badness.failing > 0) {
+      if (kind.defect.failing > 0) {
         BOOST_TEST(judged.rejected[2] >= windows.rejected[2]);
       }
     }
--- a/tests/service_rollout/judge_test.cc
+++ b/tests/service_rollout/judge_test.cc
@@ -2,7 +2,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "judge_play.h"
+#include "judge_scenario.h"
 
 namespace calicodrift::service_rollout {
 namespace {
@@ -16,11 +16,11 @@
   std::uint64_t medianBad = 0;
 };
 
-Outcomes outcomesOf(const Play& play, std::size_t orders = kOrders) {
+Outcomes outcomesOf(const Scenario& scenario, std::size_t orders = kOrders) {
   Outcomes outcomes;
   std::vector<std::uint64_t> bad;
   for (std::size_t seed = 0; seed < orders; ++seed) {
-    const PlayResult result = playWithJudge(play, seed);
+    const ScenarioResult result = runWithJudge(scenario, seed);
     outcomes.rejected += result.rejectedAt ? 1 : 0;
     outcomes.sound += result.verdict == Verdict::kSound ? 1 : 0;
     bad.push_back(result.bad);
@@ -30,14 +30,14 @@
   return outcomes;
 }
 
-Play badBy(const Badness& badness, double seconds = 8) {
-  Play play;
-  play.candidate = badness;
-  play.seconds = seconds;
-  return play;
+Scenario scenarioWith(const Defect& defect, double seconds = 8) {
+  Scenario scenario;
+  scenario.candidate = defect;
+  scenario.seconds = seconds;
+  return scenario;
 }
 
-/// One route of 200 stable answers with a ratio of 1, and the candidate's.
+/// One route with 200 stable answers of ratio 1 and the given answers of the candidate.
 OrderObservations seenWith(std::uint32_t candidateAnswers, std::uint32_t candidateFailures) {
   OrderObservations seen;
   auto& samples = seen.routes[RouteKey(0xab)];
@@ -52,44 +52,44 @@
 
 BOOST_AUTO_TEST_SUITE(judge)
 
-BOOST_AUTO_TEST_CASE(failuresAreFoundLongBeforeTheDeadline) {
+BOOST_AUTO_TEST_CASE(failuresAreDetectedLongBeforeTheDeadline) {
   for (const double failing : {0.2, 0.3, 0.5, 1.0}) {
-    const Outcomes outcomes = outcomesOf(badBy({.failing = failing}));
+    const Outcomes outcomes = outcomesOf(scenarioWith({.failing = failing}));
     BOOST_TEST(outcomes.rejected == kOrders);
     BOOST_TEST(outcomes.medianBad < 25U);
   }
 }
 
-BOOST_AUTO_TEST_CASE(fewFailuresAreFoundOnALongOrder) {
-  Play play = badBy({.failing = 0.05}, 30);
-  play.requestsPerSecond = 843;
-  BOOST_TEST(outcomesOf(play).rejected == kOrders);
+BOOST_AUTO_TEST_CASE(rareFailuresAreDetectedOnALongOrder) {
+  Scenario scenario = scenarioWith({.failing = 0.05}, 30);
+  scenario.requestsPerSecond = 843;
+  BOOST_TEST(outcomesOf(scenario).rejected == kOrders);
 }
 
-BOOST_AUTO_TEST_CASE(slowVersionIsFound) {
+BOOST_AUTO_TEST_CASE(slowVersionIsDetected) {
   for (const double slowBy : {3.0, 5.0}) {
-    BOOST_TEST(outcomesOf(badBy({.slow = 1.0, .slowBy = slowBy})).rejected == kOrders);
+    BOOST_TEST(outcomesOf(scenarioWith({.slow = 1.0, .slowBy = slowBy})).rejected == kOrders);
   }
-  BOOST_TEST(outcomesOf(badBy({.slow = 0.3, .slowBy = 5})).rejected >= 95U);
-  BOOST_TEST(outcomesOf(badBy({.slow = 0.3, .slowBy = 3}, 30)).rejected >= 95U);
+  BOOST_TEST(outcomesOf(scenarioWith({.slow = 0.3, .slowBy = 5})).rejected >= 95U);
+  BOOST_TEST(outcomesOf(scenarioWith({.slow = 0.3, .slowBy = 3}, 30)).rejected >= 95U);
 }
 
-BOOST_AUTO_TEST_CASE(versionThatIsBadOnOneRouteIsFound) {
-  BOOST_TEST(outcomesOf(badBy({.failing = 0.3, .route = 1})).rejected == kOrders);
-  BOOST_TEST(outcomesOf(badBy({.slow = 1.0, .slowBy = 5, .route = 1})).rejected == kOrders);
+BOOST_AUTO_TEST_CASE(defectOnASingleRouteIsDetected) {
+  BOOST_TEST(outcomesOf(scenarioWith({.failing = 0.3, .route = 1})).rejected == kOrders);
+  BOOST_TEST(outcomesOf(scenarioWith({.slow = 1.0, .slowBy = 5, .route = 1})).rejected == kOrders);
 }
 
-BOOST_AUTO_TEST_CASE(versionThatTurnsBadIsFound) {
-  const Badness later{.failing = 0.3, .fromSecond = 20};
-  const Outcomes outcomes = outcomesOf(badBy(later, 30));
+BOOST_AUTO_TEST_CASE(laterDefectIsDetected) {
+  const Defect later{.failing = 0.3, .fromSecond = 20};
+  const Outcomes outcomes = outcomesOf(scenarioWith(later, 30));
   BOOST_TEST(outcomes.rejected == kOrders);
   BOOST_TEST(outcomes.medianBad < 25U);
 }
 
-BOOST_AUTO_TEST_CASE(soundVersionIsFoundSound) {
-  Play play;
-  play.seconds = 12;
-  const Outcomes outcomes = outcomesOf(play, 300);
+BOOST_AUTO_TEST_CASE(soundVersionIsAccepted) {
+  Scenario scenario;
+  scenario.seconds = 12;
+  const Outcomes outcomes = outcomesOf(scenario, 300);
   BOOST_TEST(outcomes.rejected == 0U);
   BOOST_TEST(outcomes.sound >= 297U);
 }
@@ -99,28 +99,28 @@
   std::size_t rejected = 0;
   std::mt19937_64 random(20261202);
   for (std::size_t seed = 0; seed < kSoundOrders; ++seed) {
-    Play play;
-    play.seconds = std::array{8.0, 12.0, 30.0}[seed % 3];
-    play.requestsPerSecond = std::array{228.0, 843.0}[seed % 2];
-    play.noiseFailing = std::uniform_real_distribution<double>(0.005, 0.02)(random);
-    rejected += playWithJudge(play, seed).rejectedAt ? 1 : 0;
+    Scenario scenario;
+    scenario.seconds = std::array{8.0, 12.0, 30.0}[seed % 3];
+    scenario.requestsPerSecond = std::array{228.0, 843.0}[seed % 2];
+    scenario.baseFailureRate = std::uniform_real_distribution<double>(0.005, 0.02)(random);
+    rejected += runWithJudge(scenario, seed).rejectedAt ? 1 : 0;
   }
   BOOST_TEST_MESSAGE("sound versions rejected: " << rejected << " of " << kSoundOrders);
   BOOST_TEST(rejected * 200 < kSoundOrders);
 }
 
-BOOST_AUTO_TEST_CASE(faultThatStrikesBothVersionsIsNotHeldAgainstTheCandidate) {
+BOOST_AUTO_TEST_CASE(faultInBothVersionsDoesNotRejectTheCandidate) {
   for (const double requestsPerSecond : {228.0, 843.0}) {
-    for (const Badness& fault :
-         {Badness{.failing = 0.3, .fromSecond = 4}, Badness{.failing = 1.0, .fromSecond = 4},
-          Badness{.slow = 1.0, .slowBy = 5, .fromSecond = 4},
-          Badness{.failing = 0.3, .fromSecond = 4, .route = 1}}) {
-      Play play = badBy(fault, 12);
-      play.stable = fault;
-      play.requestsPerSecond = requestsPerSecond;
+    for (const Defect& fault :
+         {Defect{.failing = 0.3, .fromSecond = 4}, Defect{.failing = 1.0, .fromSecond = 4},
+          Defect{.slow = 1.0, .slowBy = 5, .fromSecond = 4},
+          Defect{.failing = 0.3, .fromSecond = 4, .route = 1}}) {
+      Scenario scenario = scenarioWith(fault, 12);
+      scenario.stable = fault;
+      scenario.requestsPerSecond = requestsPerSecond;
       BOOST_TEST_CONTEXT("failing " << fault.failing << ", slow " << fault.slow << ", "
                                     << requestsPerSecond << " requests/s") {
-        BOOST_TEST(outcomesOf(play).rejected == 0U);
+        BOOST_TEST(outcomesOf(scenario).rejected == 0U);
       }
     }
   }
@@ -135,13 +135,13 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(stableVersionThatIsGoneLeavesTheCandidateUnrejected) {
-  Play play;
-  play.stableEndsAt = 4;
-  BOOST_TEST(outcomesOf(play).rejected == 0U);
+BOOST_AUTO_TEST_CASE(candidateIsNotRejectedWithoutAStableVersion) {
+  Scenario scenario;
+  scenario.stableEndsAt = 4;
+  BOOST_TEST(outcomesOf(scenario).rejected == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(candidateIsNotJudgedWithoutAnythingToCompareWith) {
+BOOST_AUTO_TEST_CASE(candidateIsNotJudgedWithoutABaseline) {
   Judge judge{JudgeSettings()};
   OrderObservations seen = seenWith(30, 30);
   seen.routes[RouteKey(0xab)][0] = {};
@@ -149,35 +149,35 @@
   BOOST_TEST(judge.evidence() == 0.0);
 }
 
-BOOST_AUTO_TEST_CASE(answersWithoutATimeSayNothingOfSpeed) {
-  Play play = badBy({.slow = 1.0, .slowBy = 5}, 12);
-  play.timed = false;
-  const Outcomes outcomes = outcomesOf(play);
+BOOST_AUTO_TEST_CASE(answersWithoutTimesAreNotJudgedForSpeed) {
+  Scenario scenario = scenarioWith({.slow = 1.0, .slowBy = 5}, 12);
+  scenario.hasTimes = false;
+  const Outcomes outcomes = outcomesOf(scenario);
   BOOST_TEST(outcomes.rejected == 0U);
   BOOST_TEST(outcomes.sound == kOrders);
 }
 
-BOOST_AUTO_TEST_CASE(nodesThatAreLostMakeNoSoundVersionBad) {
-  Play play;
-  play.nodes = 10;
-  play.restartsPerSecond = 0.1;
-  play.seconds = 12;
-  BOOST_TEST(outcomesOf(play, 300).rejected == 0U);
-  play.candidate.failing = 0.3;
-  BOOST_TEST(outcomesOf(play).rejected == kOrders);
+BOOST_AUTO_TEST_CASE(lostNodesDoNotRejectASoundVersion) {
+  Scenario scenario;
+  scenario.nodes = 10;
+  scenario.restartsPerSecond = 0.1;
+  scenario.seconds = 12;
+  BOOST_TEST(outcomesOf(scenario, 300).rejected == 0U);
+  scenario.candidate.failing = 0.3;
+  BOOST_TEST(outcomesOf(scenario).rejected == kOrders);
 }
 
-BOOST_AUTO_TEST_CASE(sumsThatComeAndGoMakeNoSoundVersionBad) {
+BOOST_AUTO_TEST_CASE(intermittentSumsDoNotRejectASoundVersion) {
   for (std::size_t seed = 0; seed < 300; ++seed) {
     Judge judge{JudgeSettings()};
-    Play play;
-    play.nodes = 2;
-    play.seconds = 12;
-    // A part of the tree is out of reach now and then, and is heard again with all it has seen.
+    Scenario scenario;
+    scenario.nodes = 2;
+    scenario.seconds = 12;
+    // A part of the relay tree is unreachable at times, and returns with all its counts.
     std::mt19937_64 random(seed);
     OrderObservations kept;
-    const PlayResult result =
-        Player(play, seed).run([&](const OrderObservations& sum, MonotonicTime now) {
+    const ScenarioResult result =
+        ScenarioRunner(scenario, seed).run([&](const OrderObservations& sum, MonotonicTime now) {
           const bool heard = random() % 10 != 0;
           return judge.update(heard ? sum : kept, now) == Verdict::kBad;
         });
@@ -185,25 +185,26 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(answersThatAreCountedTwiceForASecondMakeNoSoundVersionBad) {
+BOOST_AUTO_TEST_CASE(answersCountedTwiceDoNotRejectASoundVersion) {
   constexpr int kTicks = 30;
-  constexpr int kTwice = 10;
+  constexpr int kDuplicateTicks = 10;
   for (std::size_t seed = 0; seed < 300; ++seed) {
     Judge judge{JudgeSettings()};
-    Play play;
-    play.seconds = 12;
+    Scenario scenario;
+    scenario.seconds = 12;
     // The old parent's sums keep the last report of a subtree that has left it.
     OrderObservations lastReport;
     int tick = static_cast<int>(seed);
-    const PlayResult result = Player(play, seed).run([&](OrderObservations sum, MonotonicTime now) {
-      if (++tick % kTicks == 0) {
-        lastReport = sum;
-      }
-      if (tick % kTicks < kTwice) {
-        sum += lastReport;
-      }
-      return judge.update(sum, now) == Verdict::kBad;
-    });
+    const ScenarioResult result =
+        ScenarioRunner(scenario, seed).run([&](OrderObservations sum, MonotonicTime now) {
+          if (++tick % kTicks == 0) {
+            lastReport = sum;
+          }
+          if (tick % kTicks < kDuplicateTicks) {
+            sum += lastReport;
+          }
+          return judge.update(sum, now) == Verdict::kBad;
+        });
     BOOST_TEST(!result.rejectedAt);
   }
 }
@@ -219,7 +220,7 @@
   BOOST_TEST(judge.evidence() == evidence);
 }
 
-BOOST_AUTO_TEST_CASE(rejectionByAnotherNodeIsTaken) {
+BOOST_AUTO_TEST_CASE(rejectionByAnotherNodeIsAdopted) {
   Judge judge{JudgeSettings()};
   OrderObservations seen = seenWith(1, 0);
   seen.rejected = true;
@@ -235,7 +236,8 @@
              "many failures on all routes: 10 of 20 answers, 1.0% expected, ratio 22.9 of 12.0; "
              "candidate 10 of 20 failed, stable 0 of 200");
   BOOST_TEST(judge.evidence() > 22.8);
-  BOOST_TEST(Judge{JudgeSettings()}.explain().find("nothing against it") != std::string::npos);
+  BOOST_TEST(Judge{JudgeSettings()}.explain().find("no evidence against the candidate") !=
+             std::string::npos);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/service_rollout/metrics_test.cc
+++ b/tests/service_rollout/metrics_test.cc
@@ -34,7 +34,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(rollout_metrics, MetricsFixture)
 
-BOOST_AUTO_TEST_CASE(aRolloutUnderWayIsShownWithItsFigures) {
+BOOST_AUTO_TEST_CASE(rolloutInProgressIsShownWithItsFigures) {
   metrics.show({bakingStatus()});
   for (const std::string_view label :
        {"candidate=\"2\"", "phase=\"baking\"", "service=\"quotes\"", "stable=\"1\"",
@@ -46,7 +46,7 @@
   BOOST_TEST(shows("calicodrift_service_rollout_age_seconds{service=\"quotes\"} 1.5"));
 }
 
-BOOST_AUTO_TEST_CASE(whatHasChangedReplacesWhatWasShown) {
+BOOST_AUTO_TEST_CASE(changedStatusReplacesThePreviousOne) {
   metrics.show({bakingStatus()});
   RolloutStatus ended = bakingStatus();
   ended.phase = Phase::kSteady;
@@ -59,7 +59,7 @@
   BOOST_TEST(!shows("calicodrift_service_rollout_exposed{"));
 }
 
-BOOST_AUTO_TEST_CASE(aServiceThatIsGoneIsShownNoMore) {
+BOOST_AUTO_TEST_CASE(removedServiceIsNoLongerShown) {
   metrics.show({bakingStatus()});
   metrics.show({});
   BOOST_TEST(!shows("quotes"));
--- a/tests/service_rollout/observer_test.cc
+++ b/tests/service_rollout/observer_test.cc
@@ -57,7 +57,7 @@
   BOOST_TEST(sampleIn(table, Track::kStable).failed == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(answerThatSaysNothingOfSpeedIsInNoHistogram) {
+BOOST_AUTO_TEST_CASE(answerWithoutTimesIsInNoHistogram) {
   Observer observer;
   observer.onSent(kOrder, Track::kCandidate);
   observer.onAnswer(kOrder, answerOf(Track::kCandidate));
@@ -87,16 +87,16 @@
 BOOST_AUTO_TEST_CASE(routesBeyondTheBoundAreCountedTogether) {
   Observer observer;
   observer.onSent(kOrder, Track::kStable);
-  for (std::uint64_t route = 1; route <= 2 * Observer::kMostRoutes; ++route) {
+  for (std::uint64_t route = 1; route <= 2 * Observer::kMaxRoutes; ++route) {
     AnswerObservation answer = answerOf(Track::kStable);
     answer.route = RouteKey(route);
     observer.onAnswer(kOrder, answer);
   }
   const ObservationTable table = observer.own(kNow);
   const auto& routes = table.at(kOrder).routes;
-  BOOST_TEST(routes.size() == Observer::kMostRoutes + 1);
-  BOOST_TEST(routes.at(Observer::kFurtherRoutes)[0].answered == Observer::kMostRoutes);
-  BOOST_TEST(observer.answersOfFurtherRoutes() == Observer::kMostRoutes);
+  BOOST_TEST(routes.size() == Observer::kMaxRoutes + 1);
+  BOOST_TEST(routes.at(Observer::kOverflowRoute)[0].answered == Observer::kMaxRoutes);
+  BOOST_TEST(observer.overflowAnswers() == Observer::kMaxRoutes);
 }
 
 BOOST_AUTO_TEST_CASE(tablesAddUpByOrder) {
--- a/tests/service_rollout/plan_completion_test.cc
+++ b/tests/service_rollout/plan_completion_test.cc
@@ -34,7 +34,7 @@
   expectNothing("requests on the stable version");
 }
 
-BOOST_AUTO_TEST_CASE(aRequestThatHangsDoesNotHoldAShiftForEver) {
+BOOST_AUTO_TEST_CASE(hangingRequestDoesNotBlockAShiftForever) {
   startShifting();
   input.phaseAge = Milliseconds(4999);
   expectNothing("requests on the stable version");
@@ -46,7 +46,7 @@
   startShifting();
   drain();
   input.seen.age = Milliseconds(6999);
-  expectNothing("judging goes on");
+  expectNothing("still evaluating");
   input.seen.age = Milliseconds(7000);
   expectRecord(Phase::kSteady, kNew);
 }
@@ -56,17 +56,17 @@
   drain();
   input.seen.age = Milliseconds(8500);
   input.phaseAge = Milliseconds(999);
-  expectNothing("judging goes on");
+  expectNothing("still evaluating");
   input.phaseAge = Milliseconds(1000);
   expectRecord(Phase::kSteady, kNew);
 }
 
-BOOST_AUTO_TEST_CASE(aShiftUnderDoubtGoesOnUntilTheDoubtIsSettled) {
+BOOST_AUTO_TEST_CASE(shiftWithEvidenceAgainstItContinuesUntilDecided) {
   startShifting();
   drain();
   observe(Verdict::kUndecided, Milliseconds(8500));
   input.phaseAge = Milliseconds(9999);
-  expectNothing("speaks against");
+  expectNothing("evidence against");
   observe(Verdict::kBad, Milliseconds(8500));
   expectRecord(Phase::kSteady, kOld);
   observe(Verdict::kUndecided, Milliseconds(8500));
@@ -97,7 +97,7 @@
   input.seen = {};
   input.verdict = Verdict::kUndecided;
   input.phaseAge = Milliseconds(2999);
-  expectNothing("judging goes on");
+  expectNothing("still evaluating");
   input.phaseAge = Milliseconds(3000);
   expectRecord(Phase::kSteady, kNew);
 }
--- a/tests/service_rollout/plan_fixture.h
+++ b/tests/service_rollout/plan_fixture.h
@@ -12,8 +12,8 @@
 inline const SoftwareVersion kNew("2");
 inline const SoftwareVersion kThird("3");
 
-/// One service as the lease holder sees it, and the store's conditional writes. The order of 8 s
-/// has just come; both versions have seven servers.
+/// One service as seen by the lease holder, and the store's conditional writes. The 8 s order has
+/// just been placed; both versions have seven servers.
 class PlanFixture {
  public:
   PlanFixture() {
@@ -25,7 +25,7 @@
     placeOrder(kNew);
   }
 
-  /// The operator creates the order's object anew.
+  /// The operator recreates the order's object.
   void placeOrder(const SoftwareVersion& target) {
     Order order;
     order.name = kService;
@@ -46,7 +46,7 @@
   }
 
   PlanAction next() const { return nextAction(input, settings); }
-  /// As the store does; false where the condition fails.
+  /// Applies the write like the store; returns false if its condition fails.
   bool apply(const PlanAction& action, const PlanInput& decidedOn) {
     if (action.step == PlanStep::kWriteRecord) {
       const store::Revision stored = input.record ? input.record->revision : store::Revision();
@@ -67,10 +67,10 @@
     return true;
   }
   bool apply(const PlanAction& action) { return apply(action, input); }
-  /// Carries out the plan until there is nothing to write.
+  /// Executes the plan until there is nothing to write.
   void settle() {
-    constexpr int kMostWrites = 10;
-    for (int write = 0; write < kMostWrites; ++write) {
+    constexpr int kMaxWrites = 10;
+    for (int write = 0; write < kMaxWrites; ++write) {
       const PlanAction action = next();
       if (action.step == PlanStep::kNothing) {
         return;
@@ -80,7 +80,7 @@
     BOOST_FAIL("the plan does not settle");
   }
 
-  /// All nodes' sums for the record's order.
+  /// Sets the sums of all nodes for the record's order.
   void observe(Verdict verdict, Milliseconds age) {
     input.verdict = verdict;
     input.seen = {};
--- a/tests/service_rollout/plan_test.cc
+++ b/tests/service_rollout/plan_test.cc
@@ -17,7 +17,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(plan, PlanFixture)
 
-// A new order.
+// New orders.
 
 BOOST_AUTO_TEST_CASE(aNewOrderIsAcceptedByARecordAndThenRuns) {
   expectRecord(Phase::kBaking, kOld, kNew);
@@ -27,7 +27,7 @@
   BOOST_TEST(input.record->service == kService);
   expectState(OrderState::kRunning);
   BOOST_REQUIRE(apply(next()));
-  expectNothing("too little was seen");
+  expectNothing("too few answers");
 }
 
 BOOST_AUTO_TEST_CASE(withoutAnOrderNothingIsWritten) {
@@ -52,7 +52,7 @@
 BOOST_AUTO_TEST_CASE(anOrderForTheStableVersionWaitsForRecordsAsNewAsItself) {
   placeOrder(kOld);
   input.records.revision = store::Revision(input.order->revision.value() - 1);
-  expectNothing("records as read are older");
+  expectNothing("view of the records is older");
 }
 
 BOOST_AUTO_TEST_CASE(anInvalidOrderChangesNothingAndSaysWhy) {
@@ -69,7 +69,7 @@
   expectRecord(Phase::kSteady, kOld);
   settle();
   BOOST_TEST(toString(input.order->state) == "running");
-  // Mended, it begins anew.
+  // Once corrected, the order starts again.
   input.order->duration = Milliseconds(8000);
   touchOrder();
   expectRecord(Phase::kBaking, kOld, kNew);
@@ -83,13 +83,13 @@
   const PlanAction action = next();
   BOOST_REQUIRE((action.step == PlanStep::kWriteRecord));
   BOOST_TEST((action.record == *input.record));
-  // Also without an order.
+  // The same applies without an order.
   input.order.reset();
   BOOST_TEST((next().step == PlanStep::kWriteRecord));
   BOOST_TEST((next().record.phase == Phase::kBaking));
 }
 
-// The same target again, another target, withdrawn.
+// Recreated orders, changed targets, and withdrawn orders.
 
 BOOST_AUTO_TEST_CASE(anOrderMadeAnewAfterItsEndIsANewOne) {
   startBaking();
@@ -100,8 +100,8 @@
   expectRecord(Phase::kBaking, kOld, kNew);
   settle();
   BOOST_TEST((keyOf(*input.record) != before));
-  // What was found of the earlier order says nothing of this one.
-  expectNothing("too little was seen");
+  // Observations of the earlier order don't apply to this one.
+  expectNothing("too few answers");
 }
 
 BOOST_AUTO_TEST_CASE(anOrderMadeAnewMidwayIsANewOne) {
@@ -119,7 +119,7 @@
   const PlanAction rollback = next();
   BOOST_REQUIRE((rollback.step == PlanStep::kWriteRecord));
   BOOST_REQUIRE(apply(rollback));
-  // No state was ever written, and the order is the one that the record tells of.
+  // No state was ever written, and the order is the one that the record accepted.
   BOOST_TEST(!input.order->hasState());
   expectState(OrderState::kRolledBack);
 }
@@ -137,7 +137,7 @@
   // A holder that has read the newest order, but not yet the record of its acceptance.
   input.record = ended;
   input.records.revision = recordsThen;
-  expectNothing("records as read are older");
+  expectNothing("view of the records is older");
 }
 
 BOOST_AUTO_TEST_CASE(anEndedOrderThatIsTouchedStaysEnded) {
@@ -172,17 +172,17 @@
   expectRecord(Phase::kBaking, kOld, kThird);
 }
 
-BOOST_AUTO_TEST_CASE(backToTheStableVersionMidwayEndsFirstAndWaitsForWhatRuns) {
+BOOST_AUTO_TEST_CASE(targetChangedToTheStableVersionEndsTheOrderAndDrains) {
   startShifting();
   changeTarget(kOld);
   expectRecord(Phase::kSteady, kOld);
   BOOST_REQUIRE(apply(next()));
   input.phaseAge = Milliseconds(300);
   input.drainedFor = Milliseconds(0);
-  expectNothing("requests on the version that was tried");
+  expectNothing("requests on the candidate version");
   input.drainedFor = Milliseconds(500);
   expectState(OrderState::kCompleted);
-  // A request that hangs does not hold it for ever.
+  // A hanging request does not block it forever.
   input.drainedFor = Milliseconds(0);
   input.phaseAge = Milliseconds(5000);
   expectState(OrderState::kCompleted);
@@ -192,7 +192,7 @@
   startBaking();
   observe(Verdict::kBad, Milliseconds(2000));
   settle();
-  // The state of the third version is not written before the target changes back.
+  // The state for the third version is not written before the target changes back.
   changeTarget(kThird);
   BOOST_REQUIRE(apply(next()));
   changeTarget(kNew);
@@ -235,17 +235,17 @@
   input = before;
   input.record = after.record;
   input.records = after.records;
-  expectNothing("orders as read are older");
+  expectNothing("view of the orders is older");
 }
 
 BOOST_AUTO_TEST_CASE(anOrderOfWhichTheHolderHasNotReadYetIsNotEnded) {
   startBaking();
   input.order.reset();
   input.orders.revision = store::Revision(input.record->order.value() - 1);
-  expectNothing("orders as read are older");
+  expectNothing("view of the orders is older");
 }
 
-// The judgement.
+// Verdicts.
 
 BOOST_AUTO_TEST_CASE(aBadVerdictWhileBakingRollsBack) {
   startBaking();
@@ -287,15 +287,15 @@
   observe(Verdict::kBad, Milliseconds(9000));
   input.seen.order = OrderKey(1);
   input.seen.rejected = true;
-  expectNothing("too little was seen");
+  expectNothing("too few answers");
   input.verdict = Verdict::kSound;
   input.seen.rejected = false;
-  expectNothing("too little was seen");
+  expectNothing("too few answers");
 }
 
 BOOST_AUTO_TEST_CASE(aSoundVersionWaitsUntilItsBudgetReachesTheDeadline) {
   startBaking();
-  // 0.1 x 1600 + 0.6 x 50 - 80 = 110 requests are left, 180 a second are spent: 611 ms.
+  // 0.1 x 1600 + 0.6 x 50 - 80 = 110 requests are left, and 180 a second are used: 611 ms.
   observe(Verdict::kSound, Milliseconds(8000 - 612));
   BOOST_TEST(shiftBudget(input, settings).count() == 611);
   expectNothing("near the deadline");
@@ -375,7 +375,7 @@
   expectRecord(Phase::kShifting, kOld, kNew);
 }
 
-// Views out of step.
+// Inconsistent views.
 
 BOOST_AUTO_TEST_CASE(aRecordThatLacksTheEndOfItsOrderFollowsTheState) {
   startBaking();
@@ -400,9 +400,9 @@
   expectNothing();
 }
 
-// The holder is lost between any two writes.
+// Loss of the holder between any two writes.
 
-BOOST_AUTO_TEST_CASE(theEndIsTheSameWhicheverWritesAreLostOrComeLate) {
+BOOST_AUTO_TEST_CASE(outcomeIsIndependentOfLostAndDelayedWrites) {
   constexpr unsigned kSteps = 8;
   for (unsigned lost = 0; lost < (1U << kSteps); ++lost) {
     for (const Verdict verdict : {Verdict::kSound, Verdict::kBad}) {
--- a/tests/service_rollout/rollout_controller_test.cc
+++ b/tests/service_rollout/rollout_controller_test.cc
@@ -17,16 +17,16 @@
 const SoftwareVersion kOld("1");
 const SoftwareVersion kNew("2");
 
-/// What the store does with a write.
-enum class Fate {
+/// Result of a write to the store.
+enum class WriteOutcome {
   kDone,
-  /// Done, but the answer is lost.
+  /// Applied, but the answer is lost.
   kAnswerLost,
-  /// Nothing is done.
+  /// Not applied.
   kUnavailable,
 };
 
-/// One order and one record under conditional writes, shared by the controllers of a test.
+/// One order and one record with conditional writes, shared by the controllers of a test.
 class FakeStore {
  public:
   explicit FakeStore(asio::io_context& context) : context_(context) {
@@ -38,8 +38,8 @@
   }
 
   awaitable<Result<store::Revision>> writeRecord(ServiceRecord written) {
-    const Fate fate = co_await nextFate();
-    if (fate == Fate::kUnavailable) {
+    const WriteOutcome outcome = co_await nextOutcome();
+    if (outcome == WriteOutcome::kUnavailable) {
       co_return fail(ErrorKind::kStoreUnavailable, "");
     }
     const store::Revision stored = record ? record->revision : store::Revision();
@@ -49,12 +49,12 @@
     }
     record = written;
     record->revision = store::Revision(++revision_);
-    done.push_back(std::string(toString(written.phase)));
-    co_return answer(fate);
+    completedWrites.push_back(std::string(toString(written.phase)));
+    co_return answer(outcome);
   }
   awaitable<Result<store::Revision>> writeState(Order decidedOn, OrderState state) {
-    const Fate fate = co_await nextFate();
-    if (fate == Fate::kUnavailable) {
+    const WriteOutcome outcome = co_await nextOutcome();
+    if (outcome == WriteOutcome::kUnavailable) {
       co_return fail(ErrorKind::kStoreUnavailable, "");
     }
     if (decidedOn.revision != order.revision) {
@@ -64,38 +64,38 @@
     order.state = state;
     order.stateTarget = decidedOn.target;
     order.revision = store::Revision(++revision_);
-    done.push_back(std::string(toString(state)));
-    co_return answer(fate);
+    completedWrites.push_back(std::string(toString(state)));
+    co_return answer(outcome);
   }
   store::Revision revision() const { return store::Revision(revision_); }
 
   Order order;
   std::optional<ServiceRecord> record;
-  /// Of the next writes; those beyond are done.
-  std::deque<Fate> fates;
+  /// Outcomes of the next writes; any further writes are applied.
+  std::deque<WriteOutcome> outcomes;
   Milliseconds delay{2};
-  std::vector<std::string> done;
+  std::vector<std::string> completedWrites;
   unsigned calls = 0;
   unsigned conflicts = 0;
-  unsigned underWay = 0;
-  unsigned mostUnderWay = 0;
+  unsigned inFlight = 0;
+  unsigned maxInFlight = 0;
 
  private:
-  awaitable<Fate> nextFate() {
+  awaitable<WriteOutcome> nextOutcome() {
     ++calls;
-    mostUnderWay = std::max(mostUnderWay, ++underWay);
+    maxInFlight = std::max(maxInFlight, ++inFlight);
     asio::steady_timer timer(context_, delay);
     co_await timer.async_wait(asio::use_awaitable);
-    --underWay;
-    Fate fate = Fate::kDone;
-    if (!fates.empty()) {
-      fate = fates.front();
-      fates.pop_front();
+    --inFlight;
+    WriteOutcome outcome = WriteOutcome::kDone;
+    if (!outcomes.empty()) {
+      outcome = outcomes.front();
+      outcomes.pop_front();
     }
-    co_return fate;
+    co_return outcome;
   }
-  Result<store::Revision> answer(Fate fate) const {
-    if (fate == Fate::kAnswerLost) {
+  Result<store::Revision> answer(WriteOutcome outcome) const {
+    if (outcome == WriteOutcome::kAnswerLost) {
       return fail(ErrorKind::kOutcomeUnknown, "");
     }
     return store::Revision(revision_);
@@ -122,17 +122,17 @@
     };
     RolloutControllerSettings settings;
     settings.interval = Milliseconds(2);
-    settings.pacing.firstPause = Milliseconds(4);
-    settings.pacing.longestPause = Milliseconds(64);
-    settings.pacing.longestViewWait = Milliseconds(100);
+    settings.pacing.initialPause = Milliseconds(4);
+    settings.pacing.maxPause = Milliseconds(64);
+    settings.pacing.maxViewWait = Milliseconds(100);
     controller_.emplace(context.get_executor(), std::move(ports), settings);
     controller_->start();
   }
 
   std::optional<FencingToken> token;
-  /// The view is read anew at each look; else it stays as it was.
-  bool reads = true;
-  /// Called after the views were taken, before anything is decided on them.
+  /// Whether the view is read anew in each pass; otherwise it stays unchanged.
+  bool refreshesViews = true;
+  /// Called after the views were read, before any decision is made.
   std::function<void()> afterInputs;
   Verdict verdict = Verdict::kUndecided;
   Milliseconds age{0};
@@ -141,7 +141,7 @@
 
  private:
   std::map<std::string, PlanInput> inputs() {
-    if (reads) {
+    if (refreshesViews) {
       view_.order = store_.order;
       view_.record = store_.record;
       view_.orders = {store_.revision(), monotonicNow()};
@@ -185,12 +185,12 @@
   Holder holder(context, store);
   holder.token = FencingToken(1);
   run(Milliseconds(100));
-  BOOST_TEST((store.done == std::vector<std::string>{"baking", "running"}));
+  BOOST_TEST((store.completedWrites == std::vector<std::string>{"baking", "running"}));
   holder.verdict = Verdict::kBad;
   run(Milliseconds(100));
-  BOOST_TEST(store.done == kRolledBack, boost::test_tools::per_element());
+  BOOST_TEST(store.completedWrites == kRolledBack, boost::test_tools::per_element());
   BOOST_TEST(holder.writes == 4U);
-  BOOST_TEST(store.mostUnderWay == 1U);
+  BOOST_TEST(store.maxInFlight == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(completesAShiftOnceTheStableVersionHasDrained) {
@@ -200,13 +200,13 @@
   holder.age = store.order.duration;
   holder.stableInFlight = 1;
   run(Milliseconds(700));
-  BOOST_TEST((store.done == std::vector<std::string>{"baking", "running", "shifting"}));
+  BOOST_TEST((store.completedWrites == std::vector<std::string>{"baking", "running", "shifting"}));
   holder.stableInFlight = 0;
-  // Drained, but the candidate has not had all of the traffic for long enough.
+  // Drained, but the candidate has not had all traffic for long enough.
   run(Milliseconds(200));
-  BOOST_TEST((store.done == std::vector<std::string>{"baking", "running", "shifting"}));
+  BOOST_TEST((store.completedWrites == std::vector<std::string>{"baking", "running", "shifting"}));
   run(Milliseconds(700));
-  BOOST_TEST((store.done ==
+  BOOST_TEST((store.completedWrites ==
               std::vector<std::string>{"baking", "running", "shifting", "steady", "completed"}));
   BOOST_TEST((store.record->stable == kNew));
 }
@@ -238,14 +238,14 @@
   for (std::size_t lost = 0; lost < kRolledBack.size(); ++lost) {
     asio::io_context ownContext;
     FakeStore ownStore(ownContext);
-    ownStore.fates.assign(lost, Fate::kDone);
-    ownStore.fates.push_back(Fate::kAnswerLost);
+    ownStore.outcomes.assign(lost, WriteOutcome::kDone);
+    ownStore.outcomes.push_back(WriteOutcome::kAnswerLost);
     Holder holder(ownContext, ownStore);
     holder.token = FencingToken(1);
     ownContext.run_for(Milliseconds(100));
     holder.verdict = Verdict::kBad;
     ownContext.run_for(Milliseconds(200));
-    BOOST_TEST(ownStore.done == kRolledBack, boost::test_tools::per_element());
+    BOOST_TEST(ownStore.completedWrites == kRolledBack, boost::test_tools::per_element());
     BOOST_TEST(holder.writes == kRolledBack.size());
   }
 }
@@ -253,36 +253,36 @@
 BOOST_AUTO_TEST_CASE(aLostAnswerIsNotFollowedByAWriteBeforeTheViewsAreReadAgain) {
   Holder holder(context, store);
   holder.token = FencingToken(1);
-  store.fates.push_back(Fate::kAnswerLost);
-  // The first look reads the views, all others find them as they were.
-  holder.afterInputs = [&holder] { holder.reads = false; };
+  store.outcomes.push_back(WriteOutcome::kAnswerLost);
+  // The first pass reads the views; all others find them unchanged.
+  holder.afterInputs = [&holder] { holder.refreshesViews = false; };
   run(Milliseconds(200));
   BOOST_TEST(holder.writes == 1U);
   holder.afterInputs = nullptr;
-  holder.reads = true;
+  holder.refreshesViews = true;
   run(Milliseconds(100));
-  BOOST_TEST((store.done == std::vector<std::string>{"baking", "running"}));
+  BOOST_TEST((store.completedWrites == std::vector<std::string>{"baking", "running"}));
 }
 
 BOOST_AUTO_TEST_CASE(theNextWriteWaitsUntilTheViewsShowTheLast) {
   Holder holder(context, store);
   holder.token = FencingToken(1);
-  holder.afterInputs = [&holder] { holder.reads = false; };
+  holder.afterInputs = [&holder] { holder.refreshesViews = false; };
   run(Milliseconds(60));
   BOOST_TEST(holder.writes == 1U);
-  // After the longest wait it goes on; the store refuses what rests on the old view.
+  // After the maximum wait it continues; the store refuses writes based on the old view.
   run(Milliseconds(200));
   BOOST_TEST(store.conflicts == 1U);
-  BOOST_TEST((store.done == std::vector<std::string>{"baking"}));
+  BOOST_TEST((store.completedWrites == std::vector<std::string>{"baking"}));
 }
 
 BOOST_AUTO_TEST_CASE(anOldHolderAndItsSuccessorNeverBothWrite) {
   Holder old(context, store);
   Holder successor(context, store);
   old.token = FencingToken(1);
-  // Its lease ends when the first write is done.
+  // The lease ends when the first write is completed.
   const auto handOver = [&] {
-    if (!store.done.empty()) {
+    if (!store.completedWrites.empty()) {
       old.token.reset();
       successor.token = FencingToken(2);
     }
@@ -294,7 +294,7 @@
   old.verdict = Verdict::kBad;
   run(Milliseconds(150));
   BOOST_TEST(old.writes == 1U);
-  BOOST_TEST(store.done == kRolledBack, boost::test_tools::per_element());
+  BOOST_TEST(store.completedWrites == kRolledBack, boost::test_tools::per_element());
   BOOST_TEST(store.conflicts == 0U);
 }
 
@@ -305,27 +305,27 @@
   old.token = FencingToken(1);
   run(Milliseconds(10));
   BOOST_REQUIRE(old.writes == 1U);
-  // The old holder's write is still under way when the successor decides the same.
+  // The old holder's write is still in flight when the successor makes the same decision.
   old.token.reset();
   successor.token = FencingToken(2);
   run(Milliseconds(400));
-  BOOST_TEST((store.done == std::vector<std::string>{"baking", "running"}));
+  BOOST_TEST((store.completedWrites == std::vector<std::string>{"baking", "running"}));
   BOOST_TEST(store.conflicts == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(aStoreThatFailsIsNotHammered) {
+BOOST_AUTO_TEST_CASE(writesToAFailingStoreBackOff) {
   Holder holder(context, store);
   holder.token = FencingToken(1);
-  store.fates.assign(1000, Fate::kUnavailable);
+  store.outcomes.assign(1000, WriteOutcome::kUnavailable);
   run(Milliseconds(600));
-  // Pauses of 4, 8, 16, 32 and then 64 ms, of which jitter leaves half at least: 23 calls at most,
-  // where one each look would be 150.
+  // Pauses of 4, 8, 16, 32 and then 64 ms, of which jitter leaves at least half: at most 23 calls,
+  // where one per pass would be 150.
   BOOST_TEST(store.calls >= 5U);
   BOOST_TEST(store.calls <= 23U);
-  BOOST_TEST(store.done.empty());
-  store.fates.clear();
+  BOOST_TEST(store.completedWrites.empty());
+  store.outcomes.clear();
   run(Milliseconds(200));
-  BOOST_TEST((store.done == std::vector<std::string>{"baking", "running"}));
+  BOOST_TEST((store.completedWrites == std::vector<std::string>{"baking", "running"}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/service_rollout/traffic_rules_test.cc
+++ b/tests/service_rollout/traffic_rules_test.cc
@@ -72,7 +72,7 @@
 BOOST_AUTO_TEST_CASE(aNodeThatStartsBesideACandidateTakesTheOtherVersionForTheStableOne) {
   Rules rules;
   rules.applyOrder(orderFor(kOld, 10));
-  // As many servers of each: the order tells which one is the candidate.
+  // Both versions have the same number of servers: the order shows which one is the candidate.
   rules.list(7, 7);
   BOOST_TEST((rules.rule().stable == kNew));
 }
@@ -86,7 +86,7 @@
   BOOST_TEST((rules.rule().candidate == kNew));
   rules.applyRecord(recordIn(Phase::kShifting, 12));
   BOOST_TEST((rules.rule().use == CandidateUse::kEverything));
-  // An older record that comes late changes nothing.
+  // An older record that arrives late changes nothing.
   rules.applyRecord(recordIn(Phase::kBaking, 11));
   BOOST_TEST((rules.rule().use == CandidateUse::kEverything));
 }
@@ -139,7 +139,7 @@
   completed.stateTarget = kNew;
   rules.applyOrder(completed);
   BOOST_TEST((rules.rule().stable == kNew));
-  // The state is of the target that the order had then.
+  // The state belongs to the target that the order had then.
   completed.target = SoftwareVersion("3");
   rules.applyOrder(completed);
   BOOST_TEST((rules.rule().stable == kOld));
