--- a/src/orders/engine_order.h
+++ b/src/orders/engine_order.h
@@ -23,7 +23,7 @@
 
 /// An order to an engine. The engine refuses it with status 412 unless all of these hold: the token
 /// is at least the highest that the engine has seen, the same is true of the bundle version, and
-/// the incarnation, if given, is the engine's own. Repeating an order has no further effect.
+/// the incarnation, if given, is the engine's own. Repeating an order is harmless.
 struct EngineOrder {
   OrderKind kind = OrderKind::kObserve;
   FencingToken token;
--- a/tests/service_rollout/judge_scenario.h
+++ b/tests/service_rollout/judge_scenario.h
@@ -37,7 +37,7 @@
   double latencyDeviation = 0.5;
   std::array<double, 2> routeShares = {0.6, 0.4};
   std::size_t nodes = 1;
-  /// Probability per second that a node is lost and restarts without its counts.
+  /// Probability per second and node that the node is lost and restarts without its counts.
   double restartsPerSecond = 0;
   /// Whether answers carry times.
   bool hasTimes = true;
--- a/tests/service_rollout/judge_table_test.cc
+++ b/tests/service_rollout/judge_table_test.cc
@@ -132,7 +132,7 @@
   return wanted == nullptr ? kDefault : std::stod(wanted);
 }
 
-/// Rejections within 8, 12 and 30 s, and the bad answers until each rejection.
+/// Rejections within 8, 12 and 30 s, and the median of the bad answers until the rejection.
 struct Cell {
   std::array<std::size_t, 3> rejected{};
   std::vector<std::uint64_t> bad;
