--- a/src/fleet/backend_health.cc
+++ b/src/fleet/backend_health.cc
@@ -5,18 +5,19 @@
 namespace calicodrift::fleet {
 namespace {
 
-/// `first` doubled `times` times, up to the longest.
-Milliseconds doubled(Milliseconds first, std::size_t times) {
-  constexpr std::size_t kEnoughDoublings = 10;
-  const auto factor = static_cast<std::int64_t>(1) << std::min(times, kEnoughDoublings);
-  return std::min(first * factor, BackendHealth::kLongest);
+/// Returns `first` doubled `doublings` times, at most kMaxBackoff.
+Milliseconds exponentialBackoff(Milliseconds first, std::size_t doublings) {
+  // Bounds the shift; ten doublings of either initial value exceed kMaxBackoff.
+  constexpr std::size_t kMaxDoublings = 10;
+  const auto factor = static_cast<std::int64_t>(1) << std::min(doublings, kMaxDoublings);
+  return std::min(first * factor, BackendHealth::kMaxBackoff);
 }
 
 }  // namespace
 
 void BackendHealth::probeSucceeded(MonotonicTime now) {
   if (reachable_) {
-    if (now - reachableSince_ > kLongest) {
+    if (now - reachableSince_ > kMaxBackoff) {
       flaps_ = 0;
     }
     return;
@@ -32,31 +33,31 @@
     return false;
   }
   reachable_ = false;
-  const bool flapped = now - reachableSince_ < kLongest;
-  // The first loss is held against nobody: a restarted back end serves from its first good probe.
-  heldOffUntil_ = flapped && flaps_ > 0 ? now + doubled(kFirstHoldOff, flaps_ - 1) : now;
+  const bool flapped = now - reachableSince_ < kMaxBackoff;
+  // The first loss causes no hold-off: a restarted back end serves from its first successful probe.
+  heldOffUntil_ = flapped && flaps_ > 0 ? now + exponentialBackoff(kFirstHoldOff, flaps_ - 1) : now;
   flaps_ = flapped ? flaps_ + 1 : 1;
   return true;
 }
 
 void BackendHealth::restarted() {
-  failuresInRow_ = 0;
+  consecutiveFailures_ = 0;
   ejections_ = 0;
   ejectedUntil_ = {};
 }
 
 void BackendHealth::requestSucceeded() {
-  failuresInRow_ = 0;
+  consecutiveFailures_ = 0;
   ejections_ = 0;
 }
 
 bool BackendHealth::requestFailed(MonotonicTime now) {
-  ++failuresInRow_;
-  if (failuresInRow_ < kFailuresToEject) {
+  ++consecutiveFailures_;
+  if (consecutiveFailures_ < kFailuresToEject) {
     return false;
   }
-  failuresInRow_ = 0;
-  ejectedUntil_ = now + doubled(kFirstEjection, ejections_);
+  consecutiveFailures_ = 0;
+  ejectedUntil_ = now + exponentialBackoff(kFirstEjection, ejections_);
   ++ejections_;
   return true;
 }
--- a/src/fleet/backend_health.h
+++ b/src/fleet/backend_health.h
@@ -6,47 +6,49 @@
 
 namespace calicodrift::fleet {
 
-/// Health of one back end as this node sees it, from its own probes and from the outcomes of the
-/// requests that it sent there. No I/O and no clock: every call is told the time.
+/// Health of one back end as seen by this node, from its own probes and from the outcomes of the
+/// requests that it sent there. Does no I/O and reads no clock: callers pass the time.
 ///
-/// Two mechanisms, for two kinds of failure:
-/// - Unreachable (a probe or a connect failed): out at once, and back after a good probe. One that
-///   fails again soon after it came back (flapping) stays out longer each time.
-/// - Ejected (it answers probes, but requests to it break one after the other): passed over for a
-///   time that doubles with each ejection. The table ignores ejections where no other back end is
-///   left, as then the fault is likelier to be elsewhere.
+/// Tracks two kinds of failure:
+/// - Unreachable (a probe or a connect failed): excluded at once, and readmitted after a successful
+///   probe. A back end that fails again soon after its return (flapping) is held off longer each
+///   time.
+/// - Ejected (it answers probes, but consecutive requests to it fail): skipped for a time that
+///   doubles with each ejection. The table ignores ejections where no other back end is left, since
+///   the fault is then likelier to be elsewhere.
 class BackendHealth {
  public:
-  /// Failed requests in a row until ejection.
+  /// Consecutive failed requests that cause an ejection.
   static constexpr std::size_t kFailuresToEject = 3;
   static constexpr Milliseconds kFirstEjection{1000};
   static constexpr Milliseconds kFirstHoldOff{500};
-  /// Longest ejection and longest hold-off; also how long a back end must stay up to count as calm.
-  static constexpr Milliseconds kLongest{30000};
+  /// Upper bound of ejections and hold-offs. A back end that stays reachable for longer than this
+  /// is no longer considered flapping.
+  static constexpr Milliseconds kMaxBackoff{30000};
 
   bool reachable() const { return reachable_; }
   bool ejected(MonotonicTime now) const { return now < ejectedUntil_; }
   MonotonicTime ejectedUntil() const { return ejectedUntil_; }
 
-  /// A probe was answered well.
+  /// Records a successful probe.
   void probeSucceeded(MonotonicTime now);
-  /// A probe or a connect failed. True if it was reachable until now.
+  /// Records a failed probe or connect. Returns whether the back end was reachable until now.
   bool becameUnreachable(MonotonicTime now);
-  /// It is another process now: what was known of the old one's requests does not count.
+  /// Discards the request failures of the previous process.
   void restarted();
-  /// Nothing is known until the next good probe.
+  /// Marks the back end unreachable until the next successful probe.
   void forget() { reachable_ = false; }
   void requestSucceeded();
-  /// True if this failure ejects it.
+  /// Returns whether this failure causes an ejection.
   bool requestFailed(MonotonicTime now);
 
  private:
   bool reachable_ = false;
   MonotonicTime reachableSince_{};
-  /// A good probe before this time does not bring it back.
+  /// Successful probes before this time do not make the back end reachable.
   MonotonicTime heldOffUntil_{};
   std::size_t flaps_ = 0;
-  std::size_t failuresInRow_ = 0;
+  std::size_t consecutiveFailures_ = 0;
   std::size_t ejections_ = 0;
   MonotonicTime ejectedUntil_{};
 };
--- a/src/fleet/cache_store_report.h
+++ b/src/fleet/cache_store_report.h
@@ -4,14 +4,15 @@
 
 namespace calicodrift::fleet {
 
-/// How a store of kept cache stands, as the nodes that ask it tell the others.
+/// State of a KV cache store as observed by one node, exchanged between nodes.
 struct CacheStoreReport {
-  /// Hash of its address.
+  /// Hash of the store's address.
   std::uint64_t store = 0;
-  /// Changes when it restarts empty; 0 where it never answered.
+  /// Changes when the store restarts empty; 0 if it has never answered.
   std::uint64_t epoch = 0;
   bool answers = false;
-  /// When its run started, so that late news of an earlier one are known as such; 0: not told.
+  /// Start time of the store's process, by which delayed reports of an earlier process are
+  /// recognized; 0: unknown.
   std::uint64_t started = 0;
 
   bool operator==(const CacheStoreReport&) const = default;
--- a/src/fleet/distance.cc
+++ b/src/fleet/distance.cc
@@ -7,17 +7,18 @@
 namespace calicodrift::fleet {
 namespace {
 
-/// Unknown zones that are told, so that a list with ever new names fills neither memory nor log.
-constexpr std::size_t kMostToldUnknown = 64;
-/// A change is told where it exceeds both: smaller ones change no choice.
-constexpr double kToldMs = 2;
-constexpr double kToldShare = 0.2;
-/// One or two slow connections are a busy process or a lost packet.
-constexpr std::size_t kSamplesToRaise = 3;
-
-/// Whether the node's zone and the others lie in more regions than one. A node without a region
-/// may stand in another one than the zones that have one.
-bool hasSeveralRegions(const DistanceSettings& settings) {
+/// Bounds the unknown zones that are reported, so that a list with ever new zone names fills
+/// neither memory nor the log.
+constexpr std::size_t kMaxReportedUnknownZones = 64;
+/// A change is reported only if it exceeds both thresholds: smaller ones change no routing choice.
+constexpr double kReportThresholdMs = 2;
+constexpr double kReportThresholdShare = 0.2;
+/// One or two slow connections may be due to a busy process or a lost packet.
+constexpr std::size_t kMinSamplesToRaise = 3;
+
+/// Returns whether this node's zone and the other zones span several regions. A node without a
+/// region may be in a different one than the zones that have a region.
+bool spansMultipleRegions(const DistanceSettings& settings) {
   if (settings.regions.empty()) {
     return false;
   }
@@ -43,27 +44,28 @@
 Distances::Distances(DistanceSettings settings, DistanceListener listener)
     : settings_(std::move(settings)),
       listener_(std::move(listener)),
-      hasRegions_(hasSeveralRegions(settings_)) {}
+      multipleRegions_(spansMultipleRegions(settings_)) {}
 
-void Distances::noteZone(const ZoneId& zone) {
-  const bool untold = isUnknown(zone) && toldUnknown_.size() < kMostToldUnknown;
-  if (untold && toldUnknown_.insert(zone).second && listener_.unknownZone) {
+void Distances::addZone(const ZoneId& zone) {
+  const bool unreported =
+      isUnknown(zone) && reportedUnknownZones_.size() < kMaxReportedUnknownZones;
+  if (unreported && reportedUnknownZones_.insert(zone).second && listener_.unknownZone) {
     listener_.unknownZone(zone);
   }
 }
 
 bool Distances::observe(const ZoneId& zone, double milliseconds, MonotonicTime now) {
-  if (countsForNothing(zone)) {
+  if (isDistanceIgnored(zone)) {
     return false;
   }
-  Learnt& learnt = learnt_[zone];
-  rollWindows(learnt, now);
-  const double bounded = std::clamp(milliseconds, 0.0, kLongestWayMs);
-  learnt.running.leastMs = std::min(bounded, learnt.running.leastMs);
-  ++learnt.running.count;
-  learnt.wayMs = learntAt(zone, now);
-  nextExpiry_ = std::min(nextExpiry_, learnt.windowBegin + settings_.window);
-  return noteChange(zone, learnt, now);
+  Estimate& estimate = estimates_[zone];
+  rollWindows(estimate, now);
+  const double bounded = std::clamp(milliseconds, 0.0, kMaxRttMs);
+  estimate.current.minMs = std::min(bounded, estimate.current.minMs);
+  ++estimate.current.count;
+  estimate.rttMs = estimatedRttMs(zone, now);
+  nextExpiry_ = std::min(nextExpiry_, estimate.windowBegin + settings_.window);
+  return reportChange(zone, estimate, now);
 }
 
 bool Distances::dropExpired(MonotonicTime now) {
@@ -72,58 +74,58 @@
   }
   nextExpiry_ = MonotonicTime::max();
   bool changed = false;
-  for (auto& [zone, learnt] : learnt_) {
-    const auto age = now - learnt.windowBegin;
+  for (auto& [zone, estimate] : estimates_) {
+    const auto age = now - estimate.windowBegin;
     if (age >= 2 * settings_.window) {
-      changed = std::exchange(learnt.wayMs, std::nullopt).has_value() || changed;
-      noteChange(zone, learnt, now);
+      changed = std::exchange(estimate.rttMs, std::nullopt).has_value() || changed;
+      reportChange(zone, estimate, now);
       continue;
     }
-    learnt.wayMs = learntAt(zone, now);
-    changed = noteChange(zone, learnt, now) || changed;
+    estimate.rttMs = estimatedRttMs(zone, now);
+    changed = reportChange(zone, estimate, now) || changed;
     const int windows = age >= settings_.window ? 2 : 1;
-    nextExpiry_ = std::min(nextExpiry_, learnt.windowBegin + windows * settings_.window);
+    nextExpiry_ = std::min(nextExpiry_, estimate.windowBegin + windows * settings_.window);
   }
   return changed;
 }
 
-void Distances::rollWindows(Learnt& learnt, MonotonicTime now) const {
-  if (now - learnt.windowBegin >= 2 * settings_.window) {
-    learnt = Learnt{now, {}, {}, std::nullopt, learnt.toldMs};
-  } else if (now - learnt.windowBegin >= settings_.window) {
-    learnt.previous = std::exchange(learnt.running, Samples{});
-    learnt.windowBegin = now;
+void Distances::rollWindows(Estimate& estimate, MonotonicTime now) const {
+  if (now - estimate.windowBegin >= 2 * settings_.window) {
+    estimate = Estimate{now, {}, {}, std::nullopt, estimate.reportedMs};
+  } else if (now - estimate.windowBegin >= settings_.window) {
+    estimate.previous = std::exchange(estimate.current, Samples{});
+    estimate.windowBegin = now;
   }
 }
 
-bool Distances::noteChange(const ZoneId& zone, Learnt& learnt, MonotonicTime now) const {
-  const double wayMs = wayTo(zone, now).milliseconds;
-  const double change = std::abs(wayMs - learnt.toldMs);
-  if (change <= kToldMs || change <= kToldShare * learnt.toldMs) {
+bool Distances::reportChange(const ZoneId& zone, Estimate& estimate, MonotonicTime now) const {
+  const double rttMs = distanceTo(zone, now).rttMs;
+  const double change = std::abs(rttMs - estimate.reportedMs);
+  if (change <= kReportThresholdMs || change <= kReportThresholdShare * estimate.reportedMs) {
     return false;
   }
-  learnt.toldMs = wayMs;
+  estimate.reportedMs = rttMs;
   if (listener_.wayChanged) {
-    listener_.wayChanged(zone, wayMs);
+    listener_.wayChanged(zone, rttMs);
   }
   return true;
 }
 
-Way Distances::wayTo(const ZoneId& zone, MonotonicTime now) const {
-  if (countsForNothing(zone)) {
+ZoneDistance Distances::distanceTo(const ZoneId& zone, MonotonicTime now) const {
+  if (isDistanceIgnored(zone)) {
     return {};
   }
   if (isUnknown(zone)) {
-    return {farthest(now), !settings_.preferOwnRegion};
+    return {longestRttMs(now), !settings_.preferOwnRegion};
   }
   const bool ownRegion = inOwnRegion(zone);
-  const double wayMs = learntAt(zone, now).value_or(expected(zone));
-  const bool countsAsNone = ownRegion && wayMs < toMilliseconds(settings_.floor);
-  return {countsAsNone ? 0 : wayMs, ownRegion || !settings_.preferOwnRegion};
+  const double rttMs = estimatedRttMs(zone, now).value_or(defaultRttMs(zone));
+  const bool belowFloor = ownRegion && rttMs < toMilliseconds(settings_.floor);
+  return {belowFloor ? 0 : rttMs, ownRegion || !settings_.preferOwnRegion};
 }
 
-bool Distances::countsForNothing(const ZoneId& zone) const {
-  return !hasRegions_ && !isUnknown(zone);
+bool Distances::isDistanceIgnored(const ZoneId& zone) const {
+  return !multipleRegions_ && !isUnknown(zone);
 }
 
 bool Distances::inOwnRegion(const ZoneId& zone) const {
@@ -140,33 +142,33 @@
   return !settings_.regions.empty() && zone != settings_.zone && !settings_.regions.contains(zone);
 }
 
-std::optional<double> Distances::learntAt(const ZoneId& zone, MonotonicTime now) const {
-  const auto found = learnt_.find(zone);
-  if (found == learnt_.end() || now - found->second.windowBegin >= 2 * settings_.window) {
+std::optional<double> Distances::estimatedRttMs(const ZoneId& zone, MonotonicTime now) const {
+  const auto found = estimates_.find(zone);
+  if (found == estimates_.end() || now - found->second.windowBegin >= 2 * settings_.window) {
     return std::nullopt;
   }
-  const Learnt& learnt = found->second;
-  Samples samples = learnt.running;
-  if (now - learnt.windowBegin < settings_.window) {
-    samples.leastMs = std::min(samples.leastMs, learnt.previous.leastMs);
-    samples.count += learnt.previous.count;
+  const Estimate& estimate = found->second;
+  Samples samples = estimate.current;
+  if (now - estimate.windowBegin < settings_.window) {
+    samples.minMs = std::min(samples.minMs, estimate.previous.minMs);
+    samples.count += estimate.previous.count;
   }
-  const double known = learnt.wayMs.value_or(expected(zone));
-  const bool counts = samples.leastMs <= known || samples.count >= kSamplesToRaise;
-  return counts ? samples.leastMs : known;
+  const double known = estimate.rttMs.value_or(defaultRttMs(zone));
+  const bool counts = samples.minMs <= known || samples.count >= kMinSamplesToRaise;
+  return counts ? samples.minMs : known;
 }
 
-double Distances::expected(const ZoneId& zone) const {
+double Distances::defaultRttMs(const ZoneId& zone) const {
   if (zone == settings_.zone) {
     return 0;
   }
-  return toMilliseconds(inOwnRegion(zone) ? settings_.sameRegionWay : settings_.otherRegionWay);
+  return toMilliseconds(inOwnRegion(zone) ? settings_.sameRegionRtt : settings_.otherRegionWay);
 }
 
-double Distances::farthest(MonotonicTime now) const {
+double Distances::longestRttMs(MonotonicTime now) const {
   double longest = toMilliseconds(settings_.otherRegionWay);
-  for (const auto& [zone, learnt] : learnt_) {
-    longest = std::max(longest, learntAt(zone, now).value_or(0));
+  for (const auto& [zone, estimate] : estimates_) {
+    longest = std::max(longest, estimatedRttMs(zone, now).value_or(0));
   }
   return longest;
 }
--- a/src/fleet/distance.h
+++ b/src/fleet/distance.h
@@ -11,103 +11,105 @@
 #include "common/clock.h"
 #include "common/ids.h"
 
-/// How far the servers of each zone are from this node.
+/// Network distance between this node and the servers of each zone.
 namespace calicodrift::fleet {
 
-/// How far a zone's servers are, as a choice weighs it.
-struct Way {
-  /// There and back.
-  double milliseconds = 0;
-  /// In this node's region, where choices prefer that.
+/// Network distance of a zone's servers, as used to weigh routing choices.
+struct ZoneDistance {
+  /// Round-trip time.
+  double rttMs = 0;
+  /// Whether the zone is in this node's region; always true where routing does not prefer that
+  /// region.
   bool nearby = true;
 
-  bool operator==(const Way&) const = default;
+  bool operator==(const ZoneDistance&) const = default;
 };
 
 struct DistanceSettings {
-  /// Where this node stands.
+  /// Zone of this node.
   ZoneId zone;
-  /// Region of each zone. Empty: all zones are one region.
+  /// Region of each zone. Empty: all zones are in one region.
   std::map<ZoneId, std::string> regions;
-  /// Whether choices prefer the own region by itself, and not only by its shorter way.
+  /// Whether routing prefers servers in this node's region regardless of the RTT difference.
   bool preferOwnRegion = true;
-  /// Expected before anything was learnt, there and back.
-  Milliseconds sameRegionWay{2};
+  /// Default RTTs, used until one has been measured.
+  Milliseconds sameRegionRtt{2};
   Milliseconds otherRegionWay{60};
-  /// Ways inside the region that are shorter count as none: queues differ by more, and an even use
-  /// of all servers is worth more.
+  /// RTTs within the region below this value count as 0: queueing delays differ by more, and an
+  /// even use of all servers is worth more.
   Milliseconds floor{10};
-  /// The least time of a connection in one or two of these is the way.
+  /// The RTT is the shortest connect time in the current and the previous window of this length.
   Milliseconds window{30'000};
 };
 
-/// A table from "zone=region" items. A zone without a region is left out, and so the farthest.
+/// Parses "zone=region" items. A zone without a region is skipped, and is thus treated as the
+/// farthest.
 std::map<ZoneId, std::string> parseZoneRegions(const std::vector<std::string>& items);
 
-/// Told of what an operator should know; each may be empty.
+/// Callbacks for events that an operator should know of; each may be empty.
 struct DistanceListener {
-  /// Once for each zone that has no region though others have one.
+  /// Called once for each zone that has no region though others have one.
   std::function<void(const ZoneId&)> unknownZone;
-  /// A way changed by so much that choices change.
+  /// Called when an RTT has changed by enough to affect routing.
   std::function<void(const ZoneId&, double milliseconds)> wayChanged;
 };
 
-/// Learns the way to each zone from the time that connections to its servers take: the least of a
-/// window, as queues, busy processes and lost packets only lengthen it. One connection lowers a
-/// way; it takes several to raise it. Where all zones lie in one region no way counts. No I/O;
-/// calls are told the time.
+/// Estimates the RTT to each zone from the connect times of its servers: the minimum over a window,
+/// since queueing, busy processes and lost packets only lengthen it. One connection lowers an
+/// estimate; raising it takes several. Where all zones are in one region, all distances are 0. Does
+/// no I/O; callers pass the time.
 class Distances {
  public:
   explicit Distances(DistanceSettings settings, DistanceListener listener = {});
 
-  /// A server stands in the zone.
-  void noteZone(const ZoneId& zone);
-  /// A connection to a server of the zone took so long. Returns whether the way changed by so much
-  /// that choices change.
+  /// Records that a server is listed in the zone, and reports the zone if its region is unknown.
+  void addZone(const ZoneId& zone);
+  /// Records the connect time of a server in the zone. Returns whether the RTT changed by enough to
+  /// affect routing.
   bool observe(const ZoneId& zone, double milliseconds, MonotonicTime now);
-  /// Ends what was learnt too long ago. Returns whether a way may have changed by that. Cheap where
-  /// nothing ends.
+  /// Drops expired estimates. Returns whether a distance may have changed by that. Cheap where
+  /// nothing expires.
   bool dropExpired(MonotonicTime now);
-  /// The way as learnt, or as expected where nothing was learnt of late. A zone without a region
-  /// is as far as the farthest.
-  Way wayTo(const ZoneId& zone, MonotonicTime now) const;
+  /// Distance by the measured RTT, or by the default if none was measured recently. A zone without
+  /// a region is as far as the farthest one.
+  ZoneDistance distanceTo(const ZoneId& zone, MonotonicTime now) const;
 
-  static constexpr double kLongestWayMs = 1000;
+  static constexpr double kMaxRttMs = 1000;
 
  private:
-  /// The connections of one window.
+  /// Connect times in one window.
   struct Samples {
-    double leastMs = std::numeric_limits<double>::infinity();
+    double minMs = std::numeric_limits<double>::infinity();
     std::size_t count = 0;
   };
-  struct Learnt {
+  struct Estimate {
     MonotonicTime windowBegin{};
-    Samples running;
+    Samples current;
     Samples previous;
     /// As of the last connection, or of the end of a window since then.
-    std::optional<double> wayMs;
-    /// What the last change was told for.
-    double toldMs = 0;
+    std::optional<double> rttMs;
+    /// RTT at the last reported change.
+    double reportedMs = 0;
   };
 
-  void rollWindows(Learnt& learnt, MonotonicTime now) const;
-  /// Tells a change that is large enough. Returns whether it was.
-  bool noteChange(const ZoneId& zone, Learnt& learnt, MonotonicTime now) const;
-  /// The zone lies in the only region that there is.
-  bool countsForNothing(const ZoneId& zone) const;
+  void rollWindows(Estimate& estimate, MonotonicTime now) const;
+  /// Reports a change that exceeds the thresholds. Returns whether it did.
+  bool reportChange(const ZoneId& zone, Estimate& estimate, MonotonicTime now) const;
+  /// Whether the zone is in the only known region.
+  bool isDistanceIgnored(const ZoneId& zone) const;
   bool inOwnRegion(const ZoneId& zone) const;
   bool isUnknown(const ZoneId& zone) const;
-  std::optional<double> learntAt(const ZoneId& zone, MonotonicTime now) const;
-  double expected(const ZoneId& zone) const;
-  double farthest(MonotonicTime now) const;
+  std::optional<double> estimatedRttMs(const ZoneId& zone, MonotonicTime now) const;
+  double defaultRttMs(const ZoneId& zone) const;
+  double longestRttMs(MonotonicTime now) const;
 
   DistanceSettings settings_;
   DistanceListener listener_;
-  bool hasRegions_;
-  /// Nothing that was learnt ends before.
+  bool multipleRegions_;
+  /// No estimate expires before this time.
   MonotonicTime nextExpiry_ = MonotonicTime::max();
-  std::map<ZoneId, Learnt> learnt_;
-  std::set<ZoneId> toldUnknown_;
+  std::map<ZoneId, Estimate> estimates_;
+  std::set<ZoneId> reportedUnknownZones_;
 };
 
 }  // namespace calicodrift::fleet
--- a/src/fleet/leaving_servers.cc
+++ b/src/fleet/leaving_servers.cc
@@ -4,14 +4,14 @@
 
 namespace calicodrift::fleet {
 
-bool LeavingServers::note(ServerKey run) {
+bool LeavingServers::add(ServerKey run) {
   const auto [found, added] = entries_.try_emplace(run);
   if (!added) {
     return false;
   }
-  found->second.notedAt = ++changes_;
-  if (entries_.size() > kMost) {
-    dropLongestGone();
+  found->second.recordedAt = ++changes_;
+  if (entries_.size() > kMaxEntries) {
+    evictLongestUnlisted();
   }
   return true;
 }
@@ -19,29 +19,29 @@
 std::vector<ServerKey> LeavingServers::notedSince(std::uint64_t change) const {
   std::vector<ServerKey> runs;
   for (const auto& [run, entry] : entries_) {
-    if (entry.notedAt > change) {
+    if (entry.recordedAt > change) {
       runs.push_back(run);
     }
   }
   return runs;
 }
 
-void LeavingServers::forgetGone(const std::function<bool(ServerKey)>& isListed,
-                                Milliseconds provenFor) {
+void LeavingServers::removeUnlisted(const std::function<bool(ServerKey)>& isListed,
+                                    Milliseconds freshFor) {
   for (auto item = entries_.begin(); item != entries_.end();) {
     Milliseconds& unlistedFor = item->second.unlistedFor;
-    unlistedFor = isListed(item->first) ? Milliseconds(0) : unlistedFor + provenFor;
-    item = unlistedFor >= kForgetAfter ? entries_.erase(item) : std::next(item);
+    unlistedFor = isListed(item->first) ? Milliseconds(0) : unlistedFor + freshFor;
+    item = unlistedFor >= kRetention ? entries_.erase(item) : std::next(item);
   }
 }
 
-void LeavingServers::dropLongestGone() {
-  const auto isSooner = [](const auto& one, const auto& two) {
+void LeavingServers::evictLongestUnlisted() {
+  const auto isKeptLonger = [](const auto& one, const auto& two) {
     return one.second.unlistedFor < two.second.unlistedFor ||
            (one.second.unlistedFor == two.second.unlistedFor &&
-            one.second.notedAt > two.second.notedAt);
+            one.second.recordedAt > two.second.recordedAt);
   };
-  entries_.erase(std::max_element(entries_.begin(), entries_.end(), isSooner));
+  entries_.erase(std::max_element(entries_.begin(), entries_.end(), isKeptLonger));
 }
 
 }  // namespace calicodrift::fleet
--- a/src/fleet/leaving_servers.h
+++ b/src/fleet/leaving_servers.h
@@ -10,39 +10,41 @@
 
 namespace calicodrift::fleet {
 
-/// Runs of servers whose answers said that they leave. No I/O.
+/// Runs of servers that have announced in an answer that they are leaving. Does no I/O.
 ///
-/// Invariant: what was noted stays true. No entry in the list of servers and no answer takes it
-/// back; only a later run of the server, which has another key, is free of it. A run is forgotten
-/// once the list has been without it for kForgetAfter, counted only while the list is known to be
-/// new: an entry that lapsed while the list could not be kept up may come back.
+/// Invariant: an announcement is never revoked, neither by an entry in the list of servers nor by
+/// an answer; only a later run of the server, which has another key, is unaffected. A run is
+/// removed after it has been missing from the list for kRetention. Only time during which the list
+/// is known to be fresh counts: an entry that lapsed while the list could not be kept up to date
+/// may return.
 class LeavingServers {
  public:
-  /// Returns whether that is news.
-  bool note(ServerKey run);
+  /// Returns whether the run was not known to be leaving.
+  bool add(ServerKey run);
   bool contains(ServerKey run) const { return entries_.contains(run); }
   bool empty() const { return entries_.empty(); }
   std::size_t size() const { return entries_.size(); }
-  /// Counts the runs that were ever noted.
+  /// Number of runs ever added.
   std::uint64_t changes() const { return changes_; }
+  // Runs that were added after changes() had the value `change`.
   std::vector<ServerKey> notedSince(std::uint64_t change) const;
-  /// Forgets runs that have gone.
-  /// @param provenFor for how long the list has been known to be new since the last call.
-  void forgetGone(const std::function<bool(ServerKey)>& isListed, Milliseconds provenFor);
+  /// Removes runs that have been unlisted for kRetention.
+  /// @param freshFor how long the list has been known to be fresh since the last call.
+  void removeUnlisted(const std::function<bool(ServerKey)>& isListed, Milliseconds freshFor);
 
-  /// Longer than any server serves on after it was taken off the list.
-  static constexpr Milliseconds kForgetAfter{600'000};
-  /// Many times the servers of a fleet that leave within kForgetAfter.
-  static constexpr std::size_t kMost = 32'768;
+  /// Longer than any server keeps serving after it was removed from the list.
+  static constexpr Milliseconds kRetention{600'000};
+  /// Many times the number of servers of a fleet that leave within kRetention.
+  static constexpr std::size_t kMaxEntries = 32'768;
 
  private:
   struct Entry {
-    /// Of changes(), when it was noted.
-    std::uint64_t notedAt = 0;
+    /// Value of changes() when the run was added.
+    std::uint64_t recordedAt = 0;
     Milliseconds unlistedFor{0};
   };
 
-  void dropLongestGone();
+  void evictLongestUnlisted();
 
   std::unordered_map<ServerKey, Entry> entries_;
   std::uint64_t changes_ = 0;
--- a/src/fleet/named_weights.h
+++ b/src/fleet/named_weights.h
@@ -7,21 +7,21 @@
 
 namespace calicodrift::fleet {
 
-/// A version that was named, and how long ago that was as one node heard it.
+/// A weights version that was named as a target, and the age of that naming as known to one node.
 struct WeightsNaming {
   WeightsVersion weights;
   Milliseconds age{0};
 };
 
-/// What one node knows of the weights that were named for a model. Nodes tell each other, as the
-/// store holds the newest version alone and does not say when it was named.
+/// One node's knowledge of the weights versions named for a model. Nodes exchange it because the
+/// store holds only the newest version and not when it was named.
 struct NamedWeights {
   ModelId model;
-  /// No request may be sent to versions below this one any more.
+  /// Requests must no longer be sent to versions below this one.
   WeightsVersion floor;
-  /// The teller knows of all namings of versions above this one.
+  /// The sender knows all namings of versions above this one.
   WeightsVersion coveredFrom;
-  /// Those namings, the oldest version first; maybe that of `coveredFrom` too.
+  /// Those namings in ascending order of version; may also include that of `coveredFrom`.
   std::vector<WeightsNaming> namings;
 };
 
--- a/src/fleet/prefill_rate.h
+++ b/src/fleet/prefill_rate.h
@@ -5,33 +5,36 @@
 
 namespace calicodrift::fleet {
 
-/// How many prompt tokens a model server prefills in a millisecond, as learnt from its first
-/// tokens: what was waiting there when a request was sent, over the time until its first token
-/// came. Starts from a first guess; single samples move it by a little and within bounds, as a
-/// cache that was taken for kept, or one for lost, makes a sample wrong by several times.
+/// Estimates how many prompt tokens a model server prefills per millisecond. A sample is the number
+/// of tokens queued there when a request was sent, divided by the time until its first token
+/// arrived. Starts from an initial rate and moves by exponential smoothing within bounds, since a
+/// cache entry wrongly assumed to be kept, or to be lost, distorts a sample by several times.
 class PrefillRate {
  public:
-  explicit PrefillRate(double firstGuess) : firstGuess_(firstGuess), tokensPerMs_(firstGuess) {}
+  explicit PrefillRate(double initialRate) : initialRate_(initialRate), tokensPerMs_(initialRate) {}
 
-  /// @param tokens waiting at the server with the request's own.
+  /// @param tokens queued at the server, including those of the request itself.
   void observe(std::size_t tokens, double milliseconds) {
-    if (tokens < kLeastTokens || milliseconds <= 0) {
+    if (tokens < kMinTokens || milliseconds <= 0) {
       return;
     }
-    const double seen = static_cast<double>(tokens) / milliseconds;
-    const double bounded = std::clamp(seen, firstGuess_ / kFarthest, firstGuess_ * kFarthest);
-    tokensPerMs_ += (bounded - tokensPerMs_) * kLatestShare;
+    const double measured = static_cast<double>(tokens) / milliseconds;
+    const double bounded =
+        std::clamp(measured, initialRate_ / kMaxDeviation, initialRate_ * kMaxDeviation);
+    tokensPerMs_ += (bounded - tokensPerMs_) * kSmoothing;
   }
   double tokensPerMs() const { return tokensPerMs_; }
 
-  /// Shorter prompts wait for the steps of other requests more than for their own prefill.
-  static constexpr std::size_t kLeastTokens = 2000;
+  /// Shorter prompts wait longer for the steps of other requests than for their own prefill.
+  static constexpr std::size_t kMinTokens = 2000;
 
  private:
-  static constexpr double kLatestShare = 0.05;
-  static constexpr double kFarthest = 10;
+  /// Weight of the newest sample.
+  static constexpr double kSmoothing = 0.05;
+  /// Samples are clamped to the initial rate divided, or multiplied, by this factor.
+  static constexpr double kMaxDeviation = 10;
 
-  double firstGuess_;
+  double initialRate_;
   double tokensPerMs_;
 };
 
--- a/src/fleet/saved_part.h
+++ b/src/fleet/saved_part.h
@@ -4,8 +4,8 @@
 
 namespace calicodrift::fleet {
 
-/// A cached prompt part (with its cache scope) that lies in a store of kept cache; both by their
-/// hashes. Nodes tell each other of them.
+/// A cached prompt part (with its cache scope) that is saved in a KV cache store; both are
+/// identified by their hashes. Exchanged between nodes.
 struct SavedPart {
   std::uint64_t part = 0;
   std::uint64_t store = 0;
--- a/src/fleet/server.cc
+++ b/src/fleet/server.cc
@@ -2,15 +2,15 @@
 
 namespace calicodrift::fleet {
 
-RunOrder orderOf(std::optional<Incarnation> told, std::optional<Incarnation> known) {
-  if (told == known) {
+RunOrder orderOf(std::optional<Incarnation> reported, std::optional<Incarnation> known) {
+  if (reported == known) {
     return RunOrder::kSame;
   }
-  if (!told) {
+  if (!reported) {
     return RunOrder::kUnplaced;
   }
-  // What was learnt before any start was told may be of another run.
-  return !known || *told > *known ? RunOrder::kLater : RunOrder::kEarlier;
+  // State learnt before any start was reported may belong to another run.
+  return !known || *reported > *known ? RunOrder::kLater : RunOrder::kEarlier;
 }
 
 }  // namespace calicodrift::fleet
--- a/src/fleet/server.h
+++ b/src/fleet/server.h
@@ -9,7 +9,7 @@
 #include "common/endpoint.h"
 #include "common/ids.h"
 
-/// The servers behind this node: what they say of themselves, and what this node finds.
+/// Servers behind this node: what they report and what this node observes.
 namespace calicodrift::fleet {
 
 struct LoadedModel {
@@ -18,24 +18,24 @@
   bool operator==(const LoadedModel&) const = default;
 };
 
-/// One run of a server as the list of servers shows it. A server may start again under the id that
-/// it had, at the same address or another: `id` and `started` together name the run. What is known
-/// of one run says nothing of a later one, which holds nothing of before, counts its orders from 0
-/// and may have other weights.
+/// One run (process lifetime) of a server, as shown in the list of servers. A server may restart
+/// under the same id, at the same address or another: `id` and `started` together identify the run.
+/// State learnt about one run does not apply to a later one, which starts with empty caches, counts
+/// its orders from 0 and may have loaded other weights.
 struct Server {
   BackendId id;
-  /// When this run started; a greater one is a later run. Nothing in deployments whose servers
-  /// don't tell it, where each start has an id of its own.
+  /// Start of this run; a greater value is a later run. Empty in deployments whose servers do not
+  /// report it, where each start has a new id.
   std::optional<Incarnation> started;
   std::string service;
   Endpoint endpoint;
   ZoneId zone;
-  /// Finishes what it has and must get no new work.
+  /// The server finishes its current work and must get no new work.
   bool draining = false;
   std::size_t slots = 0;
-  /// Empty where the list does not tell it.
+  /// Empty if the list does not tell it.
   SoftwareVersion version;
-  /// How long it is slower than usual from its start on, as its caches are empty then.
+  /// How long after its start the server is slower than usual, as its caches are empty.
   Milliseconds warmUp{0};
   /// Empty for servers without models.
   std::vector<LoadedModel> models;
@@ -43,21 +43,21 @@
   bool operator==(const Server&) const = default;
 };
 
-/// Names the server's run among those of the same id.
+/// Identifies the server's run among those of the same id.
 inline Incarnation incarnationOf(const Server& server) {
   return server.started.value_or(Incarnation());
 }
 
-/// How what tells a start relates to the run that is known under the id.
+/// Order of a reported start relative to the known run of the same id.
 enum class RunOrder {
   kSame,
-  /// Of an earlier run: it says nothing of the known one.
+  /// An earlier run: the report says nothing about the known one.
   kEarlier,
-  /// Of a later run: what is known is over.
+  /// A later run: the known one has ended.
   kLater,
-  /// It tells no start, though the server has told one: it can't be placed and proves nothing.
+  /// No start is reported although the server has reported one before: the order is unknown.
   kUnplaced,
 };
-RunOrder orderOf(std::optional<Incarnation> told, std::optional<Incarnation> known);
+RunOrder orderOf(std::optional<Incarnation> reported, std::optional<Incarnation> known);
 
 }  // namespace calicodrift::fleet
--- a/src/fleet/server_rests.cc
+++ b/src/fleet/server_backoffs.cc
@@ -1,29 +1,29 @@
-#include "fleet/server_rests.h"
+#include "fleet/server_backoffs.h"
 
 #include <algorithm>
 
 namespace calicodrift::fleet {
 
-bool ServerRests::note(const BackendId& server, MonotonicTime until, MonotonicTime now) {
-  if (entries_.size() >= kMost && !entries_.contains(server)) {
-    forgetOver(now);
+bool ServerBackoffs::add(const BackendId& server, MonotonicTime until, MonotonicTime now) {
+  if (entries_.size() >= kMaxEntries && !entries_.contains(server)) {
+    removeExpired(now);
   }
-  if (entries_.size() >= kMost && !entries_.contains(server)) {
+  if (entries_.size() >= kMaxEntries && !entries_.contains(server)) {
     const auto first = std::min_element(
         entries_.begin(), entries_.end(),
         [](const auto& one, const auto& two) { return one.second.end() < two.second.end(); });
     entries_.erase(first);
   }
   Entry& entry = entries_[server];
-  if (until <= entry.restUntil) {
+  if (until <= entry.backoffUntil) {
     return false;
   }
-  entry.restUntil = until;
+  entry.backoffUntil = until;
   return true;
 }
 
-std::optional<MonotonicTime> ServerRests::excludedUntil(const BackendId& server,
-                                                        MonotonicTime now) const {
+std::optional<MonotonicTime> ServerBackoffs::excludedUntil(const BackendId& server,
+                                                           MonotonicTime now) const {
   const auto found = entries_.find(server);
   if (found == entries_.end() || found->second.end() <= now) {
     return std::nullopt;
@@ -31,25 +31,25 @@
   return found->second.end();
 }
 
-std::optional<MonotonicTime> ServerRests::noteSent(const BackendId& server, MonotonicTime now) {
+std::optional<MonotonicTime> ServerBackoffs::noteSent(const BackendId& server, MonotonicTime now) {
   const auto found = entries_.find(server);
   if (found == entries_.end()) {
     return std::nullopt;
   }
-  found->second.trialUntil = now + kTrialTime;
+  found->second.trialUntil = now + kTrialTimeout;
   return found->second.end();
 }
 
-bool ServerRests::noteAnswered(const BackendId& server, MonotonicTime sentAt) {
+bool ServerBackoffs::noteAnswered(const BackendId& server, MonotonicTime sentAt) {
   const auto found = entries_.find(server);
-  if (found == entries_.end() || sentAt < found->second.restUntil) {
+  if (found == entries_.end() || sentAt < found->second.backoffUntil) {
     return false;
   }
   entries_.erase(found);
   return true;
 }
 
-std::vector<std::pair<BackendId, MonotonicTime>> ServerRests::excluded(MonotonicTime now) const {
+std::vector<std::pair<BackendId, MonotonicTime>> ServerBackoffs::excluded(MonotonicTime now) const {
   std::vector<std::pair<BackendId, MonotonicTime>> servers;
   for (const auto& [id, entry] : entries_) {
     if (entry.end() > now) {
@@ -59,9 +59,9 @@
   return servers;
 }
 
-void ServerRests::forgetOver(MonotonicTime now) {
+void ServerBackoffs::removeExpired(MonotonicTime now) {
   std::erase_if(entries_,
-                [now](const auto& item) { return item.second.end() + kForgetAfter <= now; });
+                [now](const auto& item) { return item.second.end() + kRetention <= now; });
 }
 
 }  // namespace calicodrift::fleet
--- a/src/fleet/server_load.cc
+++ b/src/fleet/server_load.cc
@@ -5,8 +5,8 @@
 namespace calicodrift::fleet {
 
 ServerKey keyOf(const Server& server) {
-  const std::uint64_t ofId = hashBytes(server.id.value());
-  return ServerKey(server.started ? hashPair(ofId, server.started->value()) : ofId);
+  const std::uint64_t idHash = hashBytes(server.id.value());
+  return ServerKey(server.started ? hashPair(idHash, server.started->value()) : idHash);
 }
 
 }  // namespace calicodrift::fleet
--- a/src/fleet/server_load.h
+++ b/src/fleet/server_load.h
@@ -11,22 +11,23 @@
 
 namespace calicodrift::fleet {
 
-/// Names one run of a server between nodes in few bytes: the hash of its id, and of its start where
-/// it is told. So what a node tells of an earlier run is never counted on a later one, without the
-/// start being sent beside the key.
+/// Compact identifier of one run of a server between nodes: the hash of its id, and of its start if
+/// reported. Load reported for an earlier run is therefore never counted on a later one, without
+/// sending the start beside the key.
 using ServerKey = StrongType<struct ServerKeyTag, std::uint64_t>;
 ServerKey keyOf(const Server& server);
 
-/// What some nodes have under way at a server, and whether they can reach it.
+/// Load of some nodes on a server, and whether they can reach it.
 struct ServerLoad {
   std::size_t requests = 0;
-  /// Prompt and output tokens of those requests: what they take of its memory.
+  /// Prompt and output tokens of those requests, which occupy the server's KV cache memory.
   std::size_t tokens = 0;
-  /// Prompt tokens that it has yet to prefill.
+  /// Prompt tokens still to be prefilled.
   std::size_t prefillTokens = 0;
-  /// Nodes that can't reach it.
+  /// Number of nodes that cannot reach the server.
   std::size_t unreachableFrom = 0;
-  /// Weights that it is about to load or is loading, by the node that gives orders; 0: none.
+  /// Weights that the server is loading or about to load, as reported by the node that orders the
+  /// load; 0: none.
   WeightsVersion loading{};
 
   ServerLoad& operator+=(const ServerLoad& other) {
--- a/src/fleet/server_pool.cc
+++ b/src/fleet/server_pool.cc
@@ -8,10 +8,10 @@
 namespace calicodrift::fleet {
 namespace {
 
-/// A single node that can't reach a server may itself be cut off.
-constexpr std::size_t kPeersToPassOver = 2;
-/// A little more than the pause between two reports of the others.
-constexpr Milliseconds kPeerSuspicion{600};
+/// A single node that cannot reach a server may itself be cut off.
+constexpr std::size_t kMinPeersToDeprioritize = 2;
+/// Slightly longer than the interval between two reports of the other nodes.
+constexpr Milliseconds kPeerSuspicionDuration{600};
 
 }  // namespace
 
@@ -73,14 +73,14 @@
   if (entry == nullptr) {
     return;
   }
-  unlist(*entry);
+  removeFromSets(*entry);
   const Server server = entry->server;
   servers_.erase(id);
   listener_(server, ServerLoss::kRemoved);
 }
 
 void ServerPool::setLeastWeights(const ModelId& model, WeightsVersion least, MonotonicTime now) {
-  WeightsVersion& known = leastWeights_[model];
+  WeightsVersion& known = minWeights_[model];
   if (known == least) {
     return;
   }
@@ -97,7 +97,7 @@
     return;
   }
   for (LoadedModel& loaded : entry->server.models) {
-    // The list lags behind answers, never the other way round.
+    // The list lags behind answers, never the reverse.
     if (loaded.model == model && loaded.weights < weights) {
       loaded.weights = weights;
       entry->reloadedAt = now;
@@ -125,14 +125,14 @@
 
 void ServerPool::pause(const BackendId& id, MonotonicTime until, MonotonicTime now) {
   if (Entry* entry = entryOf(id)) {
-    passOver(*entry, until);
+    deprioritize(*entry, until);
     refresh(*entry, now);
   }
 }
 
-void ServerPool::passOver(Entry& entry, MonotonicTime until) {
+void ServerPool::deprioritize(Entry& entry, MonotonicTime until) {
   entry.pausedUntil = std::max(entry.pausedUntil, until);
-  pauseEnds_.emplace(until, entry.server.id);
+  pauseExpiries_.emplace(until, entry.server.id);
 }
 
 void ServerPool::announceLoads(const std::map<BackendId, WeightsVersion>& loads,
@@ -140,8 +140,8 @@
   for (auto& [id, entry] : servers_) {
     const auto found = loads.find(id);
     const WeightsVersion announced = found == loads.end() ? WeightsVersion() : found->second;
-    if (entry.announcedLoad != announced) {
-      entry.announcedLoad = announced;
+    if (entry.announcedWeights != announced) {
+      entry.announcedWeights = announced;
       refresh(entry, now);
     }
   }
@@ -158,8 +158,8 @@
   if (entry == nullptr || !entry->health.requestFailed(now)) {
     return;
   }
-  // Comes back by itself: the failures of requests, not of probes, told of it.
-  pauseEnds_.emplace(entry->health.ejectedUntil(), id);
+  // Ejections expire by time, since failed requests, not failed probes, caused them.
+  pauseExpiries_.emplace(entry->health.ejectedUntil(), id);
   refresh(*entry, now);
   listener_(entry->server, ServerLoss::kEjected);
 }
@@ -167,14 +167,14 @@
 const routing::CandidateSet& ServerPool::candidates(std::string_view service, const ModelId& model,
                                                     MonotonicTime now, Track track) {
   static const routing::CandidateSet kNone;
-  endPauses(now);
-  endLearntWays(now);
+  expirePauses(now);
+  expireDistances(now);
   const auto found = sets_.find(SetKey{std::string(service), model, track});
   if (found == sets_.end()) {
     return kNone;
   }
   const CandidateSets& sets = found->second;
-  return sets.preferred.empty() ? sets.passedOver : sets.preferred;
+  return sets.preferred.empty() ? sets.fallback : sets.preferred;
 }
 
 const Server* ServerPool::find(const BackendId& id) const {
@@ -230,7 +230,7 @@
   for (const auto& [id, entry] : servers_) {
     loads[entry.key] = {entry.outstanding, entry.outstandingTokens, entry.prefillTokens,
                         entry.health.reachable() ? std::size_t{0} : std::size_t{1},
-                        awaitsLoad(entry) ? entry.announcedLoad : WeightsVersion()};
+                        awaitsWeights(entry) ? entry.announcedWeights : WeightsVersion()};
   }
   return loads;
 }
@@ -240,9 +240,9 @@
   for (auto& [id, entry] : servers_) {
     const auto found = loads.find(entry.key);
     const ServerLoad peers = found == loads.end() ? ServerLoad{} : found->second;
-    const bool suspected = peers.unreachableFrom >= kPeersToPassOver;
+    const bool suspected = peers.unreachableFrom >= kMinPeersToDeprioritize;
     if (suspected) {
-      passOver(entry, now + kPeerSuspicion);
+      deprioritize(entry, now + kPeerSuspicionDuration);
     }
     if (suspected || peers != entry.peers) {
       entry.peers = peers;
@@ -290,7 +290,7 @@
 }
 
 double ServerPool::wayMsTo(const Server& server, MonotonicTime now) const {
-  return distances_ == nullptr ? 0 : distances_->wayTo(server.zone, now).milliseconds;
+  return distances_ == nullptr ? 0 : distances_->distanceTo(server.zone, now).rttMs;
 }
 
 void ServerPool::observeFirstToken(const BackendId& id, std::size_t tokens, double milliseconds) {
@@ -308,18 +308,18 @@
   return !entry.server.draining && entry.health.reachable();
 }
 
-bool ServerPool::allowedVersion(const LoadedModel& loaded) const {
-  const auto least = leastWeights_.find(loaded.model);
-  return least == leastWeights_.end() || loaded.weights >= least->second;
+bool ServerPool::meetsMinWeights(const LoadedModel& loaded) const {
+  const auto least = minWeights_.find(loaded.model);
+  return least == minWeights_.end() || loaded.weights >= least->second;
 }
 
-bool ServerPool::awaitsLoad(const Entry& entry) {
-  const WeightsVersion announced = std::max(entry.announcedLoad, entry.peers.loading);
+bool ServerPool::awaitsWeights(const Entry& entry) {
+  const WeightsVersion announced = std::max(entry.announcedWeights, entry.peers.loading);
   return std::any_of(entry.server.models.begin(), entry.server.models.end(),
                      [announced](const LoadedModel& loaded) { return loaded.weights < announced; });
 }
 
-std::vector<ServerPool::SetKey> ServerPool::keysOf(const Entry& entry) const {
+std::vector<ServerPool::SetKey> ServerPool::eligibleSetKeys(const Entry& entry) const {
   std::vector<SetKey> keys;
   if (!usable(entry) || !entry.track) {
     return keys;
@@ -328,7 +328,7 @@
     keys.push_back({entry.server.service, ModelId(), *entry.track});
   }
   for (const LoadedModel& loaded : entry.server.models) {
-    if (allowedVersion(loaded)) {
+    if (meetsMinWeights(loaded)) {
       keys.push_back({entry.server.service, loaded.model, *entry.track});
     }
   }
@@ -355,55 +355,57 @@
 }
 
 void ServerPool::refresh(Entry& entry, MonotonicTime now) {
-  const bool atRest = rests_.excludedUntil(entry.server.id, now).has_value();
-  std::vector<SetKey> keys = atRest ? std::vector<SetKey>() : keysOf(entry);
-  if (keys != entry.listedIn) {
-    unlist(entry);
-  }
-  const Way way = distances_ == nullptr ? Way{} : distances_->wayTo(entry.server.zone, now);
-  const bool passedOver = entry.health.ejected(now) || now < entry.pausedUntil || awaitsLoad(entry);
+  const bool backedOff = backoffs_.excludedUntil(entry.server.id, now).has_value();
+  std::vector<SetKey> keys = backedOff ? std::vector<SetKey>() : eligibleSetKeys(entry);
+  if (keys != entry.memberOf) {
+    removeFromSets(entry);
+  }
+  const ZoneDistance distance =
+      distances_ == nullptr ? ZoneDistance{} : distances_->distanceTo(entry.server.zone, now);
+  const bool fallback =
+      entry.health.ejected(now) || now < entry.pausedUntil || awaitsWeights(entry);
   for (const SetKey& key : keys) {
     CandidateSets& sets = sets_[key];
-    (passedOver ? sets.preferred : sets.passedOver).erase(entry.server.id);
+    (fallback ? sets.preferred : sets.fallback).erase(entry.server.id);
     routing::Candidate candidate = toCandidate(entry);
-    candidate.wayMs = way.milliseconds;
-    candidate.nearby = way.nearby;
+    candidate.wayMs = distance.rttMs;
+    candidate.nearby = distance.nearby;
     for (const LoadedModel& loaded : entry.server.models) {
       if (loaded.model == key.model) {
         candidate.weights = loaded.weights;
       }
     }
-    (passedOver ? sets.passedOver : sets.preferred).put(std::move(candidate));
+    (fallback ? sets.fallback : sets.preferred).put(std::move(candidate));
   }
-  entry.listedIn = std::move(keys);
+  entry.memberOf = std::move(keys);
 }
 
-void ServerPool::unlist(Entry& entry) {
-  for (const SetKey& key : entry.listedIn) {
+void ServerPool::removeFromSets(Entry& entry) {
+  for (const SetKey& key : entry.memberOf) {
     const auto found = sets_.find(key);
     found->second.preferred.erase(entry.server.id);
-    found->second.passedOver.erase(entry.server.id);
-    if (found->second.preferred.empty() && found->second.passedOver.empty()) {
+    found->second.fallback.erase(entry.server.id);
+    if (found->second.preferred.empty() && found->second.fallback.empty()) {
       sets_.erase(found);
     }
   }
-  entry.listedIn.clear();
+  entry.memberOf.clear();
 }
 
-void ServerPool::endLearntWays(MonotonicTime now) {
+void ServerPool::expireDistances(MonotonicTime now) {
   if (distances_ == nullptr || !distances_->dropExpired(now)) {
     return;
   }
-  // Zones without a region go by the farthest of the others.
+  // Zones without a region use the RTT of the farthest zone, so every entry may be affected.
   for (auto& [id, entry] : servers_) {
     refresh(entry, now);
   }
 }
 
-void ServerPool::endPauses(MonotonicTime now) {
-  while (!pauseEnds_.empty() && pauseEnds_.begin()->first <= now) {
-    const BackendId id = pauseEnds_.begin()->second;
-    pauseEnds_.erase(pauseEnds_.begin());
+void ServerPool::expirePauses(MonotonicTime now) {
+  while (!pauseExpiries_.empty() && pauseExpiries_.begin()->first <= now) {
+    const BackendId id = pauseExpiries_.begin()->second;
+    pauseExpiries_.erase(pauseExpiries_.begin());
     if (Entry* entry = entryOf(id)) {
       refresh(*entry, now);
     }
--- a/src/fleet/server_pool.h
+++ b/src/fleet/server_pool.h
@@ -16,190 +16,195 @@
 #include "fleet/leaving_servers.h"
 #include "fleet/prefill_rate.h"
 #include "fleet/server.h"
+#include "fleet/server_backoffs.h"
 #include "fleet/server_load.h"
-#include "fleet/server_rests.h"
 #include "fleet/track.h"
 #include "routing/candidate_set.h"
 
 namespace calicodrift::fleet {
 
-/// Why a server gets no new work, for logs and counters.
+/// Reason why a server gets no new work, for logs and counters.
 enum class ServerLoss {
   kRemoved,
   kDraining,
-  /// What the list says of it can't be used.
+  /// The server's entry in the list is unusable.
   kWithheld,
   kUnreachable,
   kEjected,
   kReloaded,
   kRestarted,
-  /// Its entry tells no start any more, so that nobody knows which run it is of.
+  /// The server's entry no longer reports a start, so that its run is unknown.
   kUnplaced,
 };
 std::string_view toString(ServerLoss loss);
 
-/// One dispatch's share of a server's load.
+/// Load of one dispatch on a server.
 struct DispatchLoad {
   std::size_t tokens = 0;
   /// Prompt tokens to prefill before the first token.
   std::size_t prefillTokens = 0;
-  /// The run that it was sent to: the load of an earlier one is not the known one's.
+  /// Run that the request was sent to; load of an earlier run does not count for the current one.
   Incarnation incarnation{};
 };
 
-/// Servers that would get work but for the rest that they asked for.
+/// Servers that are excluded only by the backoff that they asked for.
 struct RestingServers {
   std::size_t count = 0;
-  /// When the first of them may get work again; nothing where there are none.
+  /// When the first of them may get work again; empty if there are none.
   std::optional<MonotonicTime> firstEnd;
 };
 
 /// All listed servers with their health and this node's own load on them, and for each service and
-/// model the set of those that may get new work. Sets change by small steps, so that no request
-/// pays for the number of servers. No I/O; calls are told the time.
+/// model the set of servers that may get new work. The sets are updated incrementally, so that the
+/// cost of a request does not grow with the number of servers. Does no I/O; callers pass the time.
 ///
-/// What is known of a server belongs to one run of it. Once a later start is told, by the list or a
-/// report, nothing of the earlier run is left but the requests that still run there (see
-/// inFlightOf()); what tells an earlier start changes nothing.
+/// State belongs to one run of a server. Once the list or a report tells a later start, all state
+/// of the earlier run is dropped except for the requests that still run there (see inFlightOf());
+/// reports of an earlier start are ignored.
 ///
-/// What a server says of itself in its answers goes before the list, and outlives its entry: that
-/// its run leaves (noteLeaving()) and that it wants rest (noteRest()).
+/// What a server announces in its answers takes precedence over the list and outlives its entry:
+/// that its run is leaving (noteLeaving()) and that it asks for backoff (noteRest()).
 ///
-/// Invariant: a server that is draining or leaving, at rest, gone from the list, older than the
-/// least allowed weights or of a version that may run nothing is in no set. It holds because every
+/// Invariant: a server that is draining or leaving, in backoff, not listed, below the minimum
+/// allowed weights or of a version that must get no requests is in no set. It holds because every
 /// change of a server ends in refresh().
 class ServerPool {
  public:
-  /// Told the server as it is now, with kRestarted as its earlier run was.
+  /// Called with the server's current state; for kRestarted, with that of its earlier run.
   using LossListener = std::function<void(const Server&, ServerLoss)>;
 
-  /// @param prefillTokensPerMs what a model server prefills in a millisecond.
+  /// @param prefillTokensPerMs initial estimate of a model server's prefill rate, in tokens per
+  ///   millisecond.
   ServerPool(double prefillTokensPerMs, LossListener listener)
       : prefillTokensPerMs_(prefillTokensPerMs), listener_(std::move(listener)) {}
 
   /// Replaces the list.
-  /// @param withheld listed as well, but what the list says of them can't be used: see withhold().
+  /// @param withheld servers that are listed too, but whose entries are unusable: see withhold().
   void applyListing(const std::vector<Server>& servers, MonotonicTime now,
                     const std::set<BackendId>& withheld = {});
-  /// One server appeared or changed. An entry that tells no start, where one is known, was written
-  /// by another: the server gets no new work until an entry can be placed.
+  /// Adds or updates one server. An entry without a start, where one is known, comes from another
+  /// writer: the server gets no new work until an entry with a start arrives.
   void apply(const Server& server, MonotonicTime now);
-  /// A report of the server told a later start than the list so far, with these models. Does
-  /// nothing where the start is not later.
+  /// Applies a report of the server with a later start than the list has shown so far, and these
+  /// models. Does nothing if the start is not later.
   void applyRestart(const BackendId& id, Incarnation started, std::vector<LoadedModel> models,
                     MonotonicTime now);
-  /// Whether no other run of the server has taken this one's place: what a call to it has shown is
-  /// news of the known run.
+  /// Whether no other run has replaced this one, so that the result of a call to it applies to the
+  /// known run.
   bool isCurrent(const Server& server) const;
   void remove(const BackendId& id);
-  /// What the list says of the server can't be used: it gets no new work, as if it were draining,
-  /// until the next apply(). Health, load and all that was learnt of it are kept, as the server
-  /// itself may be as it was. Does nothing where the server is not known.
+  /// Handles an unusable list entry: the server gets no new work, as if it were draining, until the
+  /// next apply(). Its health, load and estimates are kept, as the server itself may be unchanged.
+  /// Does nothing if the server is unknown.
   void withhold(const BackendId& id, MonotonicTime now);
-  /// Servers of the model below this version get no new work from now on.
+  /// Servers with a lower weights version of the model get no new work from now on.
   void setLeastWeights(const ModelId& model, WeightsVersion least, MonotonicTime now);
-  /// An answer told the version that the server has now, sooner than the list would.
+  /// Applies the weights version told by an answer, which is newer than the list.
   void applyWeights(const BackendId& id, const ModelId& model, WeightsVersion weights,
                     MonotonicTime now);
 
-  /// Nothing could be sent to it: out until probeSucceeded().
+  /// Excludes the server, to which nothing could be sent, until probeSucceeded().
   void markUnreachable(const BackendId& id, MonotonicTime now);
   void probeSucceeded(const BackendId& id, MonotonicTime now);
-  /// It refused without running the request: passed over until `until` where others are left.
+  /// Deprioritizes a server that refused a request without running it: until `until` it is used
+  /// only if no other is left.
   void pause(const BackendId& id, MonotonicTime until, MonotonicTime now);
-  /// The servers that this node has ordered, or is about to order, to load these weights; replaces
-  /// what it announced before. All nodes pass them over until they have the weights.
+  /// Sets the servers that this node has ordered, or is about to order, to load these weights;
+  /// replaces the previous announcement. All nodes deprioritize them until they have the weights.
   void announceLoads(const std::map<BackendId, WeightsVersion>& loads, MonotonicTime now);
-  /// A run of a server has said that it leaves: it counts as draining from now on, whatever the
-  /// list says. Returns whether that is news.
+  /// Records that a run of a server has announced that it is leaving: it counts as draining from
+  /// now on, whatever the list says. Returns whether that is new.
   bool noteLeaving(ServerKey run, MonotonicTime now);
   const LeavingServers& leaving() const { return leaving_; }
-  /// Forgets runs that have gone, and rests that are long over; see LeavingServers::forgetGone().
-  void forgetNotices(Milliseconds provenFor, MonotonicTime now);
-  /// The server asked this node to send nothing until then.
+  /// Removes leaving runs that are gone and backoffs that ended long ago; see
+  /// LeavingServers::removeUnlisted().
+  void forgetNotices(Milliseconds freshFor, MonotonicTime now);
+  /// Records that the server asked this node to send nothing until `until`.
   void noteRest(const BackendId& id, MonotonicTime until, MonotonicTime now);
-  /// A call to the server begins. Of one whose rest has ended no other begins until it is answered.
+  /// Records the start of a call. A server whose backoff has ended gets no other call until this
+  /// one is answered.
   void noteSent(const BackendId& id, MonotonicTime now);
-  /// The server has answered a call that was sent then, and asked for no rest.
+  /// Records an answer without a backoff request to a call sent at `sentAt`.
   void noteAnswered(const BackendId& id, MonotonicTime sentAt, MonotonicTime now);
-  const ServerRests& rests() const { return rests_; }
-  /// Servers of the service and model that only their rest keeps from work.
+  const ServerBackoffs& rests() const { return backoffs_; }
+  /// Servers of the service and model that only their backoff excludes.
   RestingServers restingOf(std::string_view service, const ModelId& model, MonotonicTime now) const;
   void recordSuccess(const BackendId& id);
   void recordFailure(const BackendId& id, MonotonicTime now);
 
-  /// Servers of the service (and model, for model servers) that may get work now. The reference
-  /// holds until the next change of the pool: not over a `co_await`.
+  /// Servers of the service (and model, for model servers) that may get work now. The reference is
+  /// valid until the next change of the pool, so it must not be held across a `co_await`.
   const routing::CandidateSet& candidates(std::string_view service, const ModelId& model,
                                           MonotonicTime now, Track track = Track::kStable);
-  /// The few servers of the candidate that a canary goes to, `share` of them and at least one: the
-  /// same at all nodes, so that each carries about what a server of the stable version does. None
-  /// that warms up or awaits weights.
+  /// Subset of the candidate version's servers that canary requests go to: `share` of them, at
+  /// least one. All nodes choose the same subset, so that each server carries about the load of one
+  /// of the stable version. Servers that warm up or await weights are left out.
   routing::CandidateSet canary(std::string_view service, const ModelId& model, double share,
                                MonotonicTime now);
-  /// Tells the service's servers apart by their version: those of the stable one are in the stable
-  /// sets, those of the candidate in the candidate's, others in none. Sets of one version don't
-  /// change with what the other does, so its prompts keep their homes. Does nothing where both are
-  /// as they were.
-  /// @param stable empty: versions are not told apart, all servers are in the stable sets.
+  /// Separates the service's servers by version: those of the stable version are in the stable
+  /// sets, those of the candidate in the candidate sets, others in none. Changes on one track leave
+  /// the sets of the other unchanged, so that its prompts keep their home servers. Does nothing if
+  /// both versions are unchanged.
+  /// @param stable empty: versions are not separated, all servers are in the stable sets.
   /// @param candidate empty: none.
   void setVersions(const std::string& service, const SoftwareVersion& stable,
                    const SoftwareVersion& candidate, MonotonicTime now);
-  /// By service and version: servers that are listed and not draining.
+  /// Number of servers that are listed and not draining, by service and version.
   std::map<std::string, std::map<SoftwareVersion, std::size_t>> listedVersions() const;
-  /// Servers of the version that are listed, reachable, neither draining nor ejected.
+  /// Number of servers of the version that are listed, reachable and neither draining nor ejected.
   std::size_t usableOf(const std::string& service, const SoftwareVersion& version,
                        MonotonicTime now) const;
-  /// Requests under way on servers of the version, by this node and, as they told, by others. Those
-  /// that this node sent to an earlier run count until they end: that process may live on.
+  /// Requests in flight on servers of the version, from this node and, as reported, from others.
+  /// Requests that this node sent to an earlier run count until they end, as that process may still
+  /// be alive.
   std::size_t inFlightOf(const std::string& service, const SoftwareVersion& version) const;
-  /// Whether the server's answers tell how fast its version is: not while it warms up, or awaits
-  /// weights or has just loaded some. Server::warmUp counts from the first listing here, so that a
-  /// restarted node counts anew.
+  /// Whether the server's answers are representative of its version's speed: not while it warms up,
+  /// awaits weights or has just loaded some. Server::warmUp counts from the first listing at this
+  /// node, so it starts again when this node restarts.
   bool tellsSpeed(const BackendId& id, MonotonicTime now) const;
-  /// Listed, and no node is known to have failed to reach it.
+  /// Whether the server is listed and no node is known to have failed to reach it.
   bool reachedByAll(const BackendId& id) const;
-  /// Null where it is not listed.
+  /// Null if the server is not listed.
   const Server* find(const BackendId& id) const;
-  /// The listed run of that key; null where it is not listed.
+  /// The listed run with this key; null if it is not listed.
   const Server* findRun(ServerKey key) const;
   std::vector<Server> servers() const;
-  /// Counts the listed servers for which `predicate` holds, without copying the list.
+  /// Number of listed servers that satisfy `predicate`; does not copy the list.
   std::size_t countIf(const std::function<bool(const Server&)>& predicate) const;
   std::vector<Server> unreachable() const;
-  /// Longest time that a request waits at a model server before it runs, by what all nodes are
-  /// known to have under way.
+  /// Longest expected queueing time of a request at any model server, given the known load of all
+  /// nodes.
   Milliseconds longestQueue() const;
   std::size_t size() const { return servers_.size(); }
 
-  /// What this node has under way at each server, and which it can't reach.
+  /// Load of this node on each server, and which servers it cannot reach.
   ServerLoads ownLoads() const;
-  /// What the other nodes have under way. A server that several of them can't reach is passed over
+  /// Sets the load of the other nodes. A server that several of them cannot reach is deprioritized
   /// for a time.
   void setPeerLoads(const ServerLoads& loads, MonotonicTime now);
-  /// When the other nodes' load was told last; nothing before the first time.
+  /// When the load of the other nodes was last set; empty before the first time.
   std::optional<MonotonicTime> peerLoadsAt() const { return peerLoadsAt_; }
-  /// Room for cached and running prompts of each server of a service; 0: not known.
+  /// Sets the KV cache capacity, in tokens, of each server of a service; 0: unknown.
   void setMemory(const std::string& service, std::size_t tokens, MonotonicTime now);
 
-  /// How long streams of the service's servers may pause; 0: it does not matter.
+  /// Sets how long streams of the service's servers may pause; 0: no bound.
   void setPauseBound(const std::string& service, Milliseconds bound, MonotonicTime now);
 
-  /// Candidates tell the way to their servers from now on. The distances outlive the pool.
+  /// Sets the source of the candidates' RTTs. It must outlive the pool.
   void useDistances(Distances& distances) { distances_ = &distances; }
-  /// A connection to the server took so long.
+  /// Records the time that a connection to the server took.
   void observeConnect(const BackendId& id, double milliseconds, MonotonicTime now);
-  /// The way there and back; 0 where it is not known.
+  /// Round-trip time to the server; 0 if unknown.
   double wayMsTo(const Server& server, MonotonicTime now) const;
 
   void addLoad(const BackendId& id, const DispatchLoad& load, MonotonicTime now);
-  /// The first token of a request came, which was sent when so many tokens waited there with its
-  /// own.
+  /// Records the time to the first token of a request.
+  /// @param tokens prompt tokens queued at the server when the request was sent, including its own.
   void observeFirstToken(const BackendId& id, std::size_t tokens, double milliseconds);
-  /// The first token came: nothing is left to prefill.
+  /// Removes the prefill load of a request whose first token has arrived.
   void endPrefill(const BackendId& id, const DispatchLoad& load, MonotonicTime now);
   void removeLoad(const BackendId& id, const DispatchLoad& load, MonotonicTime now);
-  /// Expires with the pool.
+  /// Expires when the pool is destroyed.
   std::weak_ptr<ServerPool*> self() const { return self_; }
 
  private:
@@ -209,10 +214,10 @@
     Track track = Track::kStable;
     auto operator<=>(const SetKey&) const = default;
   };
-  /// Those that are passed over are used where no other is left.
+  /// `fallback` is used only if `preferred` is empty.
   struct CandidateSets {
     routing::CandidateSet preferred;
-    routing::CandidateSet passedOver;
+    routing::CandidateSet fallback;
   };
   struct ServiceVersions {
     SoftwareVersion stable;
@@ -220,7 +225,7 @@
     bool operator==(const ServiceVersions&) const = default;
   };
   /// Requests of this node that still run on a run that a later one has replaced.
-  struct EarlierRun {
+  struct ReplacedRun {
     std::string service;
     SoftwareVersion version;
     std::size_t outstanding = 0;
@@ -237,72 +242,72 @@
     PrefillRate prefillRate;
     ServerKey key;
     ServerLoad peers;
-    /// What this node announced; 0: nothing.
-    WeightsVersion announcedLoad;
-    /// Nothing: its version may run nothing.
+    /// Weights announced by this node for the server; 0: none.
+    WeightsVersion announcedWeights;
+    /// Empty: the server's version must get no requests.
     std::optional<Track> track = Track::kStable;
     MonotonicTime warmUntil{};
-    /// When it last showed other weights.
+    /// When the server last showed other weights.
     std::optional<MonotonicTime> reloadedAt;
-    /// The sets that it stands in.
-    std::vector<SetKey> listedIn;
+    /// Sets that contain the server.
+    std::vector<SetKey> memberOf;
   };
 
   Entry* entryOf(const BackendId& id);
-  /// Null where the load is of an earlier run than the known one.
+  /// Null if the load belongs to another run than the known one.
   Entry* entryOf(const BackendId& id, const DispatchLoad& load);
-  /// The server's first entry, or the first of a later run.
+  /// Initializes the entry of a new server or of a later run.
   void beginRun(Entry& entry, const Server& server, MonotonicTime now);
-  /// Forgets the known run for a later one, and tells of it.
+  /// Replaces the known run by a later one, and reports the loss.
   void restart(Entry& entry, const Server& later, MonotonicTime now);
-  /// The known run's entry has changed.
+  /// Applies a changed entry of the known run.
   void update(Entry& entry, const Server& server, MonotonicTime now);
   bool usable(const Entry& entry) const;
-  bool allowedVersion(const LoadedModel& loaded) const;
-  /// Whether weights that it does not have yet were announced for it.
-  static bool awaitsLoad(const Entry& entry);
+  bool meetsMinWeights(const LoadedModel& loaded) const;
+  /// Whether weights that the server does not have yet were announced for it.
+  static bool awaitsWeights(const Entry& entry);
   std::optional<Track> trackOf(const Server& server) const;
-  /// The sets that it belongs to but for its rest.
-  std::vector<SetKey> keysOf(const Entry& entry) const;
+  /// Sets that the server belongs to, regardless of its backoff.
+  std::vector<SetKey> eligibleSetKeys(const Entry& entry) const;
   routing::Candidate toCandidate(const Entry& entry) const;
-  /// Brings the sets in line with the entry. Called after each change of one.
+  /// Updates the sets to match the entry. Called after each change of an entry.
   void refresh(Entry& entry, MonotonicTime now);
-  void unlist(Entry& entry);
+  void removeFromSets(Entry& entry);
   /// Takes effect with the next refresh().
-  void passOver(Entry& entry, MonotonicTime until);
-  /// Takes back in what was passed over until now.
-  void endPauses(MonotonicTime now);
-  /// Brings the candidates in line where ways that were learnt have expired.
-  void endLearntWays(MonotonicTime now);
+  void deprioritize(Entry& entry, MonotonicTime until);
+  /// Refreshes the servers whose pause, ejection or backoff has ended by now.
+  void expirePauses(MonotonicTime now);
+  /// Refreshes the candidates if RTT estimates have expired.
+  void expireDistances(MonotonicTime now);
 
   double prefillTokensPerMs_;
   Distances* distances_ = nullptr;
   LossListener listener_;
-  /// Tells guards that outlive the pool.
+  /// Lets guards that outlive the pool detect that.
   std::shared_ptr<ServerPool*> self_ = std::make_shared<ServerPool*>(this);
   std::optional<MonotonicTime> peerLoadsAt_;
   std::map<BackendId, Entry> servers_;
   LeavingServers leaving_;
-  ServerRests rests_;
-  std::map<std::pair<BackendId, Incarnation>, EarlierRun> earlierRuns_;
-  std::map<ModelId, WeightsVersion> leastWeights_;
+  ServerBackoffs backoffs_;
+  std::map<std::pair<BackendId, Incarnation>, ReplacedRun> replacedRuns_;
+  std::map<ModelId, WeightsVersion> minWeights_;
   std::map<std::string, std::size_t> memoryTokens_;
   std::map<std::string, Milliseconds> pauseBounds_;
   std::map<std::string, ServiceVersions> versions_;
   std::map<SetKey, CandidateSets> sets_;
-  std::multimap<MonotonicTime, BackendId> pauseEnds_;
+  std::multimap<MonotonicTime, BackendId> pauseExpiries_;
 };
 
-/// Counts a dispatch on its server for as long as it lives. May outlive the pool: a request that a
-/// planned stop cuts is destroyed with the event loop, after the node. It then does nothing; with a
-/// plain reference such a process was seen to spin in the freed pool until it was killed.
+/// Counts a dispatch on its server for the guard's lifetime. May outlive the pool, and then does
+/// nothing: a request that a planned stop cuts is destroyed with the event loop, after the node.
+/// With a plain reference, such a process was seen to spin in the freed pool until it was killed.
 class LoadGuard {
  public:
   LoadGuard(ServerPool& pool, BackendId id, DispatchLoad load);
   ~LoadGuard();
   LoadGuard(const LoadGuard&) = delete;
   LoadGuard& operator=(const LoadGuard&) = delete;
-  /// The first token came.
+  /// Called when the first token has arrived.
   void endPrefill();
 
  private:
--- a/src/fleet/server_pool_notices.cc
+++ b/src/fleet/server_pool_notices.cc
@@ -1,4 +1,4 @@
-// What servers say of themselves in their answers, which outlives their entries in the list.
+// Notices that servers send in their answers; they outlive the servers' entries in the list.
 
 #include <algorithm>
 #include <optional>
@@ -8,7 +8,7 @@
 namespace calicodrift::fleet {
 
 bool ServerPool::noteLeaving(ServerKey run, MonotonicTime now) {
-  if (!leaving_.note(run)) {
+  if (!leaving_.add(run)) {
     return false;
   }
   const auto found = std::find_if(servers_.begin(), servers_.end(),
@@ -22,37 +22,37 @@
   return true;
 }
 
-void ServerPool::forgetNotices(Milliseconds provenFor, MonotonicTime now) {
-  rests_.forgetOver(now);
+void ServerPool::forgetNotices(Milliseconds freshFor, MonotonicTime now) {
+  backoffs_.removeExpired(now);
   if (!leaving_.empty()) {
-    leaving_.forgetGone([this](ServerKey run) { return findRun(run) != nullptr; }, provenFor);
+    leaving_.removeUnlisted([this](ServerKey run) { return findRun(run) != nullptr; }, freshFor);
   }
 }
 
 void ServerPool::noteRest(const BackendId& id, MonotonicTime until, MonotonicTime now) {
-  if (!rests_.note(id, until, now)) {
+  if (!backoffs_.add(id, until, now)) {
     return;
   }
-  pauseEnds_.emplace(until, id);
+  pauseExpiries_.emplace(until, id);
   if (Entry* entry = entryOf(id)) {
     refresh(*entry, now);
   }
 }
 
 void ServerPool::noteSent(const BackendId& id, MonotonicTime now) {
-  if (rests_.empty()) {
+  if (backoffs_.empty()) {
     return;
   }
-  const std::optional<MonotonicTime> until = rests_.noteSent(id, now);
+  const std::optional<MonotonicTime> until = backoffs_.noteSent(id, now);
   Entry* entry = entryOf(id);
   if (until && entry != nullptr) {
-    pauseEnds_.emplace(*until, id);
+    pauseExpiries_.emplace(*until, id);
     refresh(*entry, now);
   }
 }
 
 void ServerPool::noteAnswered(const BackendId& id, MonotonicTime sentAt, MonotonicTime now) {
-  if (rests_.empty() || !rests_.noteAnswered(id, sentAt)) {
+  if (backoffs_.empty() || !backoffs_.noteAnswered(id, sentAt)) {
     return;
   }
   if (Entry* entry = entryOf(id)) {
@@ -63,16 +63,16 @@
 RestingServers ServerPool::restingOf(std::string_view service, const ModelId& model,
                                      MonotonicTime now) const {
   RestingServers resting;
-  for (const auto& [id, end] : rests_.excluded(now)) {
+  for (const auto& [id, end] : backoffs_.excluded(now)) {
     const auto found = servers_.find(id);
     if (found == servers_.end()) {
       continue;
     }
-    const std::vector<SetKey> keys = keysOf(found->second);
-    const bool isOne = std::any_of(keys.begin(), keys.end(), [&](const SetKey& key) {
+    const std::vector<SetKey> keys = eligibleSetKeys(found->second);
+    const bool matches = std::any_of(keys.begin(), keys.end(), [&](const SetKey& key) {
       return key.service == service && key.model == model;
     });
-    if (isOne) {
+    if (matches) {
       ++resting.count;
       resting.firstEnd = std::min(end, resting.firstEnd.value_or(end));
     }
--- a/src/fleet/server_pool_runs.cc
+++ b/src/fleet/server_pool_runs.cc
@@ -1,4 +1,4 @@
-// Which run of each server the pool knows, and the load that belongs to it.
+// Tracks the current run of each server and the load that belongs to it.
 
 #include <algorithm>
 
@@ -50,7 +50,7 @@
 }
 
 void ServerPool::beginRun(Entry& entry, const Server& server, MonotonicTime now) {
-  // A listed server is taken for reachable until something fails there.
+  // A listed server is assumed to be reachable until a probe or a connect fails.
   entry.health.probeSucceeded(now);
   entry.warmUntil = now + server.warmUp;
   entry.server = server;
@@ -58,7 +58,7 @@
   entry.server.draining = server.draining || leaving_.contains(entry.key);
   entry.track = trackOf(server);
   if (distances_ != nullptr) {
-    distances_->noteZone(server.zone);
+    distances_->addZone(server.zone);
   }
   refresh(entry, now);
 }
@@ -66,10 +66,10 @@
 void ServerPool::restart(Entry& entry, const Server& later, MonotonicTime now) {
   const Server earlier = entry.server;
   if (entry.outstanding > 0) {
-    earlierRuns_[{earlier.id, incarnationOf(earlier)}] = {earlier.service, earlier.version,
-                                                          entry.outstanding};
+    replacedRuns_[{earlier.id, incarnationOf(earlier)}] = {earlier.service, earlier.version,
+                                                           entry.outstanding};
   }
-  unlist(entry);
+  removeFromSets(entry);
   entry = Entry(prefillTokensPerMs_);
   beginRun(entry, later, now);
   listener_(earlier, ServerLoss::kRestarted);
@@ -83,10 +83,10 @@
   entry.server.draining = draining;
   entry.track = trackOf(server);
   if (distances_ != nullptr) {
-    distances_->noteZone(server.zone);
+    distances_->addZone(server.zone);
   }
   if (reloaded) {
-    // A pause was for the load, which is over.
+    // The pause was due to the load of weights, which has completed.
     entry.pausedUntil = {};
     entry.reloadedAt = now;
   }
@@ -101,8 +101,8 @@
 
 ServerPool::Entry* ServerPool::entryOf(const BackendId& id, const DispatchLoad& load) {
   Entry* entry = entryOf(id);
-  const bool ofKnownRun = entry != nullptr && incarnationOf(entry->server) == load.incarnation;
-  return ofKnownRun ? entry : nullptr;
+  const bool isCurrentRun = entry != nullptr && incarnationOf(entry->server) == load.incarnation;
+  return isCurrentRun ? entry : nullptr;
 }
 
 void ServerPool::addLoad(const BackendId& id, const DispatchLoad& load, MonotonicTime now) {
@@ -128,9 +128,9 @@
     refresh(*entry, now);
     return;
   }
-  const auto earlier = earlierRuns_.find({id, load.incarnation});
-  if (earlier != earlierRuns_.end() && --earlier->second.outstanding == 0) {
-    earlierRuns_.erase(earlier);
+  const auto earlier = replacedRuns_.find({id, load.incarnation});
+  if (earlier != replacedRuns_.end() && --earlier->second.outstanding == 0) {
+    replacedRuns_.erase(earlier);
   }
 }
 
--- a/src/fleet/server_pool_versions.cc
+++ b/src/fleet/server_pool_versions.cc
@@ -1,4 +1,4 @@
-// What the pool knows of the servers' software versions.
+// Software versions of the servers: tracks, canaries and counts by version.
 
 #include <algorithm>
 #include <cmath>
@@ -9,9 +9,9 @@
 namespace calicodrift::fleet {
 namespace {
 
-/// So long after a load of weights a server works off what waited for it, with empty caches. About
-/// what a load itself takes.
-constexpr Milliseconds kAfterLoad{1000};
+/// After loading weights a server works off the requests that waited for it, with empty caches.
+/// Takes about as long as the load itself.
+constexpr Milliseconds kLoadRecovery{1000};
 
 }  // namespace
 
@@ -46,14 +46,14 @@
 
 routing::CandidateSet ServerPool::canary(std::string_view service, const ModelId& model,
                                          double share, MonotonicTime now) {
-  /// Keeps what floating point adds to a whole number from counting as one more.
+  /// Keeps floating-point error on a whole number from rounding up to one more server.
   constexpr double kRounding = 1e-9;
   const routing::CandidateSet& all = candidates(service, model, now, Track::kCandidate);
   std::vector<std::pair<std::uint64_t, std::size_t>> ranked;
   for (std::size_t position = 0; position < all.size(); ++position) {
     const Entry* entry = entryOf(all[position].id);
-    if (entry != nullptr && now >= entry->warmUntil && !awaitsLoad(*entry)) {
-      // By its id alone: a restart leaves the canary where it was.
+    if (entry != nullptr && now >= entry->warmUntil && !awaitsWeights(*entry)) {
+      // Ranked by id alone, so that a restart does not move the canary.
       ranked.emplace_back(hashBytes(entry->server.id.value()), position);
     }
   }
@@ -62,11 +62,11 @@
       std::min(ranked.size(), static_cast<std::size_t>(std::max(1.0, wanted)));
   std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(count),
                     ranked.end());
-  routing::CandidateSet few;
+  routing::CandidateSet chosen;
   for (std::size_t place = 0; place < count; ++place) {
-    few.put(all[ranked[place].second]);
+    chosen.put(all[ranked[place].second]);
   }
-  return few;
+  return chosen;
 }
 
 std::map<std::string, std::map<SoftwareVersion, std::size_t>> ServerPool::listedVersions() const {
@@ -97,7 +97,7 @@
       requests += entry.outstanding + entry.peers.requests;
     }
   }
-  for (const auto& [run, earlier] : earlierRuns_) {
+  for (const auto& [run, earlier] : replacedRuns_) {
     if (earlier.service == service && earlier.version == version) {
       requests += earlier.outstanding;
     }
@@ -111,8 +111,8 @@
     return false;
   }
   const Entry& entry = found->second;
-  const bool justLoaded = entry.reloadedAt && now - *entry.reloadedAt < kAfterLoad;
-  return now >= entry.warmUntil && !awaitsLoad(entry) && !justLoaded;
+  const bool recentlyLoaded = entry.reloadedAt && now - *entry.reloadedAt < kLoadRecovery;
+  return now >= entry.warmUntil && !awaitsWeights(entry) && !recentlyLoaded;
 }
 
 bool ServerPool::reachedByAll(const BackendId& id) const {
--- a/tests/fleet/distance_test.cc
+++ b/tests/fleet/distance_test.cc
@@ -17,9 +17,9 @@
   return settings;
 }
 
-/// Connections to the zone that took so long, as many as make a longer way known.
-void observeOften(Distances& distances, const ZoneId& zone, double milliseconds,
-                  MonotonicTime now) {
+/// Records the least number of connections that raises an estimate.
+void observeThreeTimes(Distances& distances, const ZoneId& zone, double milliseconds,
+                       MonotonicTime now) {
   for (int count = 0; count < 3; ++count) {
     distances.observe(zone, milliseconds, now);
   }
@@ -27,7 +27,7 @@
 
 BOOST_AUTO_TEST_SUITE(distances)
 
-BOOST_AUTO_TEST_CASE(inOneRegionThereIsNoDistance) {
+BOOST_AUTO_TEST_CASE(distanceIsZeroWithinASingleRegion) {
   DistanceSettings oneRegion;
   oneRegion.zone = kOwn;
   DistanceSettings tableOfOne = oneRegion;
@@ -38,31 +38,31 @@
       BOOST_TEST(!distances.observe(kNeighbour, 250, kStart));
       BOOST_TEST(!distances.observe(kOwn, 250, kStart));
     }
-    BOOST_TEST((distances.wayTo(kNeighbour, kStart) == Way{0, true}));
-    BOOST_TEST((distances.wayTo(kOwn, kStart) == Way{0, true}));
+    BOOST_TEST((distances.distanceTo(kNeighbour, kStart) == ZoneDistance{0, true}));
+    BOOST_TEST((distances.distanceTo(kOwn, kStart) == ZoneDistance{0, true}));
   }
 }
 
-BOOST_AUTO_TEST_CASE(anUnknownZoneBesideOneRegionIsTheFarthest) {
+BOOST_AUTO_TEST_CASE(unknownZoneBesideASingleRegionIsFarthest) {
   DistanceSettings settings;
   settings.zone = kOwn;
   settings.regions = {{kOwn, "r1"}, {kNeighbour, "r1"}};
   Distances distances(settings);
-  BOOST_TEST((distances.wayTo(ZoneId("nowhere"), kStart) == Way{60, false}));
+  BOOST_TEST((distances.distanceTo(ZoneId("nowhere"), kStart) == ZoneDistance{60, false}));
 }
 
-BOOST_AUTO_TEST_CASE(aWayIsRaisedByThreeConnectionsAndLoweredByOne) {
+BOOST_AUTO_TEST_CASE(rttRisesAfterThreeSamplesAndFallsAfterOne) {
   Distances distances(twoRegions());
   distances.observe(kNeighbour, 250, kStart);
   distances.observe(kNeighbour, 250, kStart);
-  BOOST_TEST((distances.wayTo(kNeighbour, kStart) == Way{0, true}));
+  BOOST_TEST((distances.distanceTo(kNeighbour, kStart) == ZoneDistance{0, true}));
   distances.observe(kNeighbour, 250, kStart);
-  BOOST_TEST((distances.wayTo(kNeighbour, kStart) == Way{250, true}));
+  BOOST_TEST((distances.distanceTo(kNeighbour, kStart) == ZoneDistance{250, true}));
   distances.observe(kNeighbour, 20, kStart);
-  BOOST_TEST((distances.wayTo(kNeighbour, kStart) == Way{20, true}));
+  BOOST_TEST((distances.distanceTo(kNeighbour, kStart) == ZoneDistance{20, true}));
 }
 
-BOOST_AUTO_TEST_CASE(aLoneSlowConnectionInALaterWindowRaisesNothing) {
+BOOST_AUTO_TEST_CASE(singleSlowSampleInALaterWindowDoesNotRaiseTheRtt) {
   const DistanceSettings settings = twoRegions();
   Distances distances(settings);
   MonotonicTime now = kStart;
@@ -70,60 +70,60 @@
   for (int count = 0; count < 4; ++count) {
     now += settings.window + Milliseconds(1);
     distances.observe(kFar, 800, now);
-    BOOST_TEST(distances.wayTo(kFar, now).milliseconds == 30);
+    BOOST_TEST(distances.distanceTo(kFar, now).rttMs == 30);
   }
 }
 
-BOOST_AUTO_TEST_CASE(aWayThatGrowsWithTheEndOfAWindowIsTold) {
+BOOST_AUTO_TEST_CASE(rttIncreaseAtTheEndOfAWindowIsReported) {
   const DistanceSettings settings = twoRegions();
   Distances distances(settings);
   distances.observe(kFar, 30, kStart);
   const MonotonicTime next = kStart + settings.window;
-  observeOften(distances, kFar, 90, next);
-  BOOST_TEST(distances.wayTo(kFar, next).milliseconds == 30);
+  observeThreeTimes(distances, kFar, 90, next);
+  BOOST_TEST(distances.distanceTo(kFar, next).rttMs == 30);
   BOOST_TEST(!distances.dropExpired(next + settings.window - Milliseconds(1)));
   BOOST_TEST(distances.dropExpired(next + settings.window));
-  BOOST_TEST(distances.wayTo(kFar, next + settings.window).milliseconds == 90);
+  BOOST_TEST(distances.distanceTo(kFar, next + settings.window).rttMs == 90);
 }
 
-BOOST_AUTO_TEST_CASE(theEndOfWhatWasLearntIsToldOnce) {
+BOOST_AUTO_TEST_CASE(expiryOfAnEstimateIsReportedOnce) {
   const DistanceSettings settings = twoRegions();
-  std::vector<double> told;
-  Distances distances(settings,
-                      {{}, [&told](const ZoneId&, double wayMs) { told.push_back(wayMs); }});
+  std::vector<double> reported;
+  Distances distances(
+      settings, {{}, [&reported](const ZoneId&, double rttMs) { reported.push_back(rttMs); }});
   distances.observe(kFar, 25, kStart);
   const MonotonicTime end = kStart + 2 * settings.window;
   BOOST_TEST(!distances.dropExpired(end - Milliseconds(1)));
   BOOST_TEST(distances.dropExpired(end));
   BOOST_TEST(!distances.dropExpired(end));
-  BOOST_TEST((told == std::vector<double>{25, 60}));
+  BOOST_TEST((reported == std::vector<double>{25, 60}));
 }
 
-BOOST_AUTO_TEST_CASE(aWayIsExpectedUntilItIsLearnt) {
+BOOST_AUTO_TEST_CASE(defaultRttIsUsedUntilMeasured) {
   Distances distances(twoRegions());
-  BOOST_TEST((distances.wayTo(kOwn, kStart) == Way{0, true}));
-  BOOST_TEST((distances.wayTo(kNeighbour, kStart) == Way{0, true}));
-  BOOST_TEST((distances.wayTo(kFar, kStart) == Way{60, false}));
+  BOOST_TEST((distances.distanceTo(kOwn, kStart) == ZoneDistance{0, true}));
+  BOOST_TEST((distances.distanceTo(kNeighbour, kStart) == ZoneDistance{0, true}));
+  BOOST_TEST((distances.distanceTo(kFar, kStart) == ZoneDistance{60, false}));
   BOOST_TEST(distances.observe(kFar, 25, kStart));
-  BOOST_TEST((distances.wayTo(kFar, kStart) == Way{25, false}));
+  BOOST_TEST((distances.distanceTo(kFar, kStart) == ZoneDistance{25, false}));
 }
 
-BOOST_AUTO_TEST_CASE(withoutATableAllZonesAreOneRegion) {
+BOOST_AUTO_TEST_CASE(allZonesAreOneRegionWithoutARegionTable) {
   DistanceSettings settings;
   settings.zone = kOwn;
   const Distances distances(settings);
-  BOOST_TEST((distances.wayTo(kFar, kStart) == Way{0, true}));
-  BOOST_TEST((distances.wayTo(ZoneId(), kStart) == Way{0, true}));
+  BOOST_TEST((distances.distanceTo(kFar, kStart) == ZoneDistance{0, true}));
+  BOOST_TEST((distances.distanceTo(ZoneId(), kStart) == ZoneDistance{0, true}));
 }
 
-BOOST_AUTO_TEST_CASE(slowConnectionsAreNoDistance) {
+BOOST_AUTO_TEST_CASE(singleSlowConnectionDoesNotRaiseTheRtt) {
   Distances distances(twoRegions());
   distances.observe(kFar, 30, kStart);
   BOOST_TEST(!distances.observe(kFar, 800, kStart + Milliseconds(10)));
-  BOOST_TEST(distances.wayTo(kFar, kStart + Milliseconds(20)).milliseconds == 30);
+  BOOST_TEST(distances.distanceTo(kFar, kStart + Milliseconds(20)).rttMs == 30);
 }
 
-BOOST_AUTO_TEST_CASE(aWayThatGrewIsKnownAfterTwoWindows) {
+BOOST_AUTO_TEST_CASE(rttIncreaseIsKnownAfterTwoWindows) {
   const DistanceSettings settings = twoRegions();
   Distances distances(settings);
   MonotonicTime now = kStart;
@@ -131,56 +131,57 @@
   for (; now < kStart + 2 * settings.window; now += Milliseconds(1000)) {
     distances.observe(kFar, 90, now);
   }
-  BOOST_TEST(distances.wayTo(kFar, now).milliseconds == 90);
+  BOOST_TEST(distances.distanceTo(kFar, now).rttMs == 90);
 }
 
-BOOST_AUTO_TEST_CASE(whatWasLearntAgesToWhatIsExpected) {
+BOOST_AUTO_TEST_CASE(expiredEstimateFallsBackToTheDefault) {
   const DistanceSettings settings = twoRegions();
   Distances distances(settings);
   distances.observe(kFar, 25, kStart);
-  BOOST_TEST(distances.wayTo(kFar, kStart + settings.window).milliseconds == 25);
-  BOOST_TEST(distances.wayTo(kFar, kStart + 2 * settings.window).milliseconds == 60);
+  BOOST_TEST(distances.distanceTo(kFar, kStart + settings.window).rttMs == 25);
+  BOOST_TEST(distances.distanceTo(kFar, kStart + 2 * settings.window).rttMs == 60);
 }
 
-BOOST_AUTO_TEST_CASE(aWayInsideTheRegionCountsFromTheFloorOn) {
+BOOST_AUTO_TEST_CASE(sameRegionRttCountsOnlyFromTheFloorOn) {
   Distances distances(twoRegions());
   distances.observe(kNeighbour, 9, kStart);
-  BOOST_TEST((distances.wayTo(kNeighbour, kStart) == Way{0, true}));
+  BOOST_TEST((distances.distanceTo(kNeighbour, kStart) == ZoneDistance{0, true}));
   Distances slow(twoRegions());
-  observeOften(slow, kNeighbour, 14, kStart);
-  BOOST_TEST((slow.wayTo(kNeighbour, kStart) == Way{14, true}));
+  observeThreeTimes(slow, kNeighbour, 14, kStart);
+  BOOST_TEST((slow.distanceTo(kNeighbour, kStart) == ZoneDistance{14, true}));
 }
 
-BOOST_AUTO_TEST_CASE(learntWaysAreBounded) {
+BOOST_AUTO_TEST_CASE(estimatesAreBounded) {
   Distances distances(twoRegions());
-  observeOften(distances, kFar, 50'000, kStart);
-  BOOST_TEST(distances.wayTo(kFar, kStart).milliseconds == Distances::kLongestWayMs);
+  observeThreeTimes(distances, kFar, 50'000, kStart);
+  BOOST_TEST(distances.distanceTo(kFar, kStart).rttMs == Distances::kMaxRttMs);
   distances.observe(kFar, -3, kStart);
-  BOOST_TEST(distances.wayTo(kFar, kStart).milliseconds == 0);
+  BOOST_TEST(distances.distanceTo(kFar, kStart).rttMs == 0);
 }
 
-BOOST_AUTO_TEST_CASE(aZoneWithoutARegionIsTheFarthestAndToldOnce) {
-  std::vector<ZoneId> told;
-  Distances distances(twoRegions(), {[&told](const ZoneId& zone) { told.push_back(zone); }, {}});
-  observeOften(distances, kFar, 140, kStart);
+BOOST_AUTO_TEST_CASE(zoneWithoutARegionIsFarthestAndReportedOnce) {
+  std::vector<ZoneId> reported;
+  Distances distances(twoRegions(),
+                      {[&reported](const ZoneId& zone) { reported.push_back(zone); }, {}});
+  observeThreeTimes(distances, kFar, 140, kStart);
   for (int count = 0; count < 3; ++count) {
-    distances.noteZone(ZoneId("nowhere"));
-    distances.noteZone(kFar);
+    distances.addZone(ZoneId("nowhere"));
+    distances.addZone(kFar);
   }
-  BOOST_TEST((told == std::vector{ZoneId("nowhere")}));
-  BOOST_TEST((distances.wayTo(ZoneId("nowhere"), kStart) == Way{140, false}));
+  BOOST_TEST((reported == std::vector{ZoneId("nowhere")}));
+  BOOST_TEST((distances.distanceTo(ZoneId("nowhere"), kStart) == ZoneDistance{140, false}));
 }
 
-BOOST_AUTO_TEST_CASE(itemsWithoutARegionAreLeftOut) {
+BOOST_AUTO_TEST_CASE(itemsWithoutARegionAreSkipped) {
   const auto regions = parseZoneRegions({"a=r1", "b=", "c", "d=r2"});
   BOOST_TEST((regions == std::map<ZoneId, std::string>{{kOwn, "r1"}, {ZoneId("d"), "r2"}}));
 }
 
-BOOST_AUTO_TEST_CASE(withoutHomesByRegionOnlyTheWayCounts) {
+BOOST_AUTO_TEST_CASE(onlyTheRttCountsWithoutRegionPreference) {
   DistanceSettings settings = twoRegions();
   settings.preferOwnRegion = false;
   const Distances distances(settings);
-  BOOST_TEST((distances.wayTo(kFar, kStart) == Way{60, true}));
+  BOOST_TEST((distances.distanceTo(kFar, kStart) == ZoneDistance{60, true}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/fleet/prefill_rate_test.cc
+++ b/tests/fleet/prefill_rate_test.cc
@@ -7,7 +7,7 @@
 
 BOOST_AUTO_TEST_SUITE(prefill_rate)
 
-BOOST_AUTO_TEST_CASE(theRateOfASlowServerIsLearnt) {
+BOOST_AUTO_TEST_CASE(rateConvergesToThatOfASlowServer) {
   PrefillRate rate(40);
   for (int sample = 0; sample < 100; ++sample) {
     rate.observe(9000, 9000.0 / 19);
@@ -16,7 +16,7 @@
   BOOST_TEST(rate.tokensPerMs() < 19.5);
 }
 
-BOOST_AUTO_TEST_CASE(oneWrongSampleMovesItByALittle) {
+BOOST_AUTO_TEST_CASE(outlierMovesTheRateOnlySlightly) {
   PrefillRate rate(40);
   rate.observe(9000, 0.001);
   BOOST_TEST(rate.tokensPerMs() < 60);
@@ -24,9 +24,9 @@
   BOOST_TEST(rate.tokensPerMs() > 36);
 }
 
-BOOST_AUTO_TEST_CASE(shortPromptsTellNothing) {
+BOOST_AUTO_TEST_CASE(shortPromptsAreIgnored) {
   PrefillRate rate(40);
-  rate.observe(PrefillRate::kLeastTokens - 1, 1000);
+  rate.observe(PrefillRate::kMinTokens - 1, 1000);
   rate.observe(9000, 0);
   BOOST_TEST(rate.tokensPerMs() == 40);
 }
--- a/tests/fleet/server_notices_test.cc
+++ b/tests/fleet/server_notices_test.cc
@@ -1,5 +1,5 @@
-// What servers say of themselves outlives their entries in the list: guards against a list that
-// takes back that a server leaves, and against entries, reloads or restarts that end a rest early.
+// Guards against a list of servers that revokes a server's announcement that it is leaving, and
+// against entries, reloads or restarts that end a backoff early.
 
 #include <boost/test/unit_test.hpp>
 #include <random>
@@ -41,7 +41,7 @@
 
 BOOST_AUTO_TEST_SUITE(server_notices)
 
-BOOST_AUTO_TEST_CASE(leavingIsNotTakenBackByTheList) {
+BOOST_AUTO_TEST_CASE(listingDoesNotRevokeLeaving) {
   ServerPool pool = makePool();
   const Server server = makeServer("a", 5);
   pool.apply(server, kStart);
@@ -58,7 +58,7 @@
   BOOST_TEST(pool.listedVersions().empty());
 }
 
-BOOST_AUTO_TEST_CASE(leavingThatIsToldBeforeTheEntryHolds) {
+BOOST_AUTO_TEST_CASE(leavingNotedBeforeTheEntryApplies) {
   ServerPool pool = makePool();
   const Server server = makeServer("a", 5);
   BOOST_TEST(pool.noteLeaving(keyOf(server), kStart));
@@ -66,41 +66,41 @@
   BOOST_TEST(!isCandidate(pool, "a", kStart));
 }
 
-BOOST_AUTO_TEST_CASE(laterRunIsFreeOfIt) {
+BOOST_AUTO_TEST_CASE(laterRunIsNotLeaving) {
   ServerPool pool = makePool();
   pool.apply(makeServer("a", 5), kStart);
   pool.noteLeaving(keyOf(makeServer("a", 5)), kStart);
   pool.apply(makeServer("a", 6), kStart);
   BOOST_TEST(isCandidate(pool, "a", kStart));
-  // News of the earlier run say nothing of it.
+  // A notice of an earlier run does not apply to it.
   pool.noteLeaving(keyOf(makeServer("a", 4)), kStart);
   BOOST_TEST(isCandidate(pool, "a", kStart));
 }
 
-BOOST_AUTO_TEST_CASE(leavingIsForgottenOnlyByAListThatIsNew) {
+BOOST_AUTO_TEST_CASE(leavingExpiresOnlyWhileTheListIsFresh) {
   LeavingServers leaving;
-  leaving.note(ServerKey(1));
-  leaving.note(ServerKey(2));
+  leaving.add(ServerKey(1));
+  leaving.add(ServerKey(2));
   const auto isListed = [](ServerKey run) { return run == ServerKey(2); };
-  leaving.forgetGone(isListed, LeavingServers::kForgetAfter - Milliseconds(1));
-  // The store is away for long.
-  leaving.forgetGone(isListed, Milliseconds(0));
+  leaving.removeUnlisted(isListed, LeavingServers::kRetention - Milliseconds(1));
+  // The store is unavailable for a long time.
+  leaving.removeUnlisted(isListed, Milliseconds(0));
   BOOST_TEST(leaving.contains(ServerKey(1)));
-  leaving.forgetGone(isListed, Milliseconds(1));
+  leaving.removeUnlisted(isListed, Milliseconds(1));
   BOOST_TEST(!leaving.contains(ServerKey(1)));
   BOOST_TEST(leaving.contains(ServerKey(2)));
 }
 
 BOOST_AUTO_TEST_CASE(leavingServersAreBounded) {
   LeavingServers leaving;
-  for (std::size_t run = 0; run < LeavingServers::kMost + 10; ++run) {
-    leaving.note(ServerKey(run));
+  for (std::size_t run = 0; run < LeavingServers::kMaxEntries + 10; ++run) {
+    leaving.add(ServerKey(run));
   }
-  BOOST_TEST(leaving.size() == LeavingServers::kMost);
-  BOOST_TEST(leaving.contains(ServerKey(LeavingServers::kMost + 9)));
+  BOOST_TEST(leaving.size() == LeavingServers::kMaxEntries);
+  BOOST_TEST(leaving.contains(ServerKey(LeavingServers::kMaxEntries + 9)));
 }
 
-BOOST_AUTO_TEST_CASE(restHoldsOverEntriesReloadsAndALaterRun) {
+BOOST_AUTO_TEST_CASE(backoffSurvivesEntriesReloadsAndALaterRun) {
   ServerPool pool = makePool();
   pool.apply(makeServer("a", 5), kStart);
   pool.noteRest(BackendId("a"), kStart + seconds(3), kStart);
@@ -116,7 +116,7 @@
   BOOST_TEST(isCandidate(pool, "a", kStart + seconds(3)));
 }
 
-BOOST_AUTO_TEST_CASE(serverIsTriedOnceAfterItsRest) {
+BOOST_AUTO_TEST_CASE(serverGetsOneTrialCallAfterItsBackoff) {
   ServerPool pool = makePool();
   const BackendId id("a");
   pool.apply(makeServer("a", 5), kStart);
@@ -125,7 +125,7 @@
   BOOST_TEST(isCandidate(pool, "a", end));
   pool.noteSent(id, end);
   BOOST_TEST(!isCandidate(pool, "a", end + Milliseconds(1)));
-  // An answer to a call from before the rest's end does not tell that it is well.
+  // An answer to a call sent before the end of the backoff does not end the trial.
   pool.noteAnswered(id, end - Milliseconds(1), end + Milliseconds(2));
   BOOST_TEST(!isCandidate(pool, "a", end + Milliseconds(2)));
   pool.noteAnswered(id, end, end + Milliseconds(3));
@@ -134,17 +134,17 @@
   BOOST_TEST(isCandidate(pool, "a", end + Milliseconds(4)));
 }
 
-BOOST_AUTO_TEST_CASE(trialWithoutAnAnswerEndsByItself) {
+BOOST_AUTO_TEST_CASE(trialWithoutAnAnswerTimesOut) {
   ServerPool pool = makePool();
   pool.apply(makeServer("a", 5), kStart);
   pool.noteRest(BackendId("a"), kStart + seconds(1), kStart);
   pool.noteSent(BackendId("a"), kStart + seconds(1));
-  const MonotonicTime end = kStart + seconds(1) + ServerRests::kTrialTime;
+  const MonotonicTime end = kStart + seconds(1) + ServerBackoffs::kTrialTimeout;
   BOOST_TEST(!isCandidate(pool, "a", end - Milliseconds(1)));
   BOOST_TEST(isCandidate(pool, "a", end));
 }
 
-BOOST_AUTO_TEST_CASE(restsTellWhenAServiceHasAServerAgain) {
+BOOST_AUTO_TEST_CASE(firstBackoffEndIsKnownPerService) {
   ServerPool pool = makePool();
   pool.apply(makeServer("a", 5), kStart);
   pool.apply(makeServer("b", 5), kStart);
@@ -157,12 +157,12 @@
   BOOST_TEST(!pool.restingOf("other", kModel, kStart).firstEnd.has_value());
 }
 
-/// Drawn courses of entries, lapses, reloads, restarts, refusals, answers in any order and pauses:
-/// no server is offered that said it leaves, or within a rest.
-BOOST_AUTO_TEST_CASE(noDrawnCourseOffersAServerThatLeavesOrRests) {
-  constexpr unsigned kCourses = 10'000;
+/// Random sequences of entries, lapses, reloads, restarts, refusals, pauses, and answers in any
+/// order: no server is offered after it announced that it is leaving, or during a backoff.
+BOOST_AUTO_TEST_CASE(randomizedSequencesNeverOfferLeavingOrBackedOffServers) {
+  constexpr unsigned kSequences = 10'000;
   constexpr unsigned kSteps = 60;
-  for (unsigned seed = 0; seed < kCourses; ++seed) {
+  for (unsigned seed = 0; seed < kSequences; ++seed) {
     std::mt19937_64 random(seed);
     const auto draw = [&random](unsigned below) { return static_cast<unsigned>(random() % below); };
     ServerPool pool = makePool();
@@ -183,7 +183,7 @@
           ++starts[id];
           break;
         case 2: {
-          // The list may lag behind by a start.
+          // The list may lag one start behind.
           const std::uint64_t started = starts[id] - (starts[id] > 1 ? draw(2) : 0);
           pool.apply(makeServer(id, started, 1 + draw(3)), now);
           listed[id] = std::max(listed[id], started);
--- a/tests/fleet/server_pool_test.cc
+++ b/tests/fleet/server_pool_test.cc
@@ -41,7 +41,7 @@
   BOOST_TEST((losses == std::vector{ServerLoss::kDraining, ServerLoss::kRemoved}));
 }
 
-BOOST_AUTO_TEST_CASE(aWithheldServerIsNoCandidateUntilItsNextEntryAndKeepsWhatWasLearnt) {
+BOOST_AUTO_TEST_CASE(withheldServerIsExcludedUntilItsNextEntryAndKeepsItsState) {
   pool.applyListing({makeServer("a", 1), makeServer("b", 1)}, kStart);
   pool.addLoad(BackendId("a"), {100, 50}, kStart);
   pool.markUnreachable(BackendId("b"), kStart);
@@ -60,7 +60,7 @@
   BOOST_TEST(pool.unreachable().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(aListingWithholdsWhatItCantTellOfAndRemovesWhatItLacks) {
+BOOST_AUTO_TEST_CASE(listingWithholdsUnreadableServersAndRemovesMissingOnes) {
   pool.applyListing({makeServer("a", 1), makeServer("b", 1), makeServer("c", 1)}, kStart);
   pool.applyListing({makeServer("a", 1)}, kStart, {BackendId("b"), BackendId("unknown")});
   BOOST_TEST(usable() == 1U);
@@ -70,13 +70,13 @@
   BOOST_TEST(usable() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(serversBelowTheLeastWeightsAreNoCandidates) {
+BOOST_AUTO_TEST_CASE(serversBelowTheMinWeightsAreNoCandidates) {
   pool.applyListing({makeServer("a", 1), makeServer("b", 2)}, kStart);
   pool.setLeastWeights(kModel, WeightsVersion(2), kStart);
   BOOST_TEST(usable() == 1U);
   pool.applyWeights(BackendId("a"), kModel, WeightsVersion(2), kStart);
   BOOST_TEST(usable() == 2U);
-  // What the list says late does not take a version back that an answer has shown.
+  // A delayed list entry does not revert a version that an answer has shown.
   pool.applyWeights(BackendId("a"), kModel, WeightsVersion(1), kStart);
   BOOST_TEST(usable() == 2U);
 }
@@ -90,7 +90,7 @@
   BOOST_TEST(usable(kStart + Milliseconds(100)) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(candidatesFollowALearntWayThatEnds) {
+BOOST_AUTO_TEST_CASE(candidatesFollowAnExpiringRttEstimate) {
   DistanceSettings settings;
   settings.zone = ZoneId("z1");
   settings.regions = {{settings.zone, "r1"}, {ZoneId("z2"), "r2"}};
@@ -108,7 +108,7 @@
   BOOST_TEST(wayMs(kStart + 2 * settings.window) == 60);
 }
 
-BOOST_AUTO_TEST_CASE(unreachableServersComeBackByAProbe) {
+BOOST_AUTO_TEST_CASE(unreachableServersReturnAfterAProbe) {
   pool.applyListing({makeServer("a", 1), makeServer("b", 1)}, kStart);
   pool.markUnreachable(BackendId("a"), kStart);
   BOOST_TEST(usable() == 1U);
@@ -117,7 +117,7 @@
   BOOST_TEST(usable() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(ejectedServersComeBackByThemselves) {
+BOOST_AUTO_TEST_CASE(ejectedServersReturnAfterTheEjection) {
   pool.applyListing({makeServer("a", 1), makeServer("b", 1)}, kStart);
   for (std::size_t failure = 0; failure < BackendHealth::kFailuresToEject; ++failure) {
     pool.recordFailure(BackendId("a"), kStart);
@@ -126,7 +126,7 @@
   BOOST_TEST(usable(kStart + BackendHealth::kFirstEjection) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(loadIsCountedAndTakenBack) {
+BOOST_AUTO_TEST_CASE(loadIsAddedAndRemoved) {
   pool.applyListing({makeServer("a", 1)}, kStart);
   const DispatchLoad load{1000, 800};
   pool.addLoad(BackendId("a"), load, kStart);
@@ -138,7 +138,7 @@
   BOOST_TEST(pool.candidates("llm", kModel, kStart)[0].outstanding == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(loadOfPeersStandsBesideTheOwn) {
+BOOST_AUTO_TEST_CASE(peerLoadIsAddedToOwnLoad) {
   pool.applyListing({makeServer("a", 1), makeServer("b", 1)}, kStart);
   pool.setMemory("llm", 5000, kStart);
   pool.addLoad(BackendId("a"), {1000, 800}, kStart);
@@ -172,7 +172,7 @@
   BOOST_TEST(candidates[1].pauseBoundMs == 600);
 }
 
-BOOST_AUTO_TEST_CASE(serverThatSeveralPeersCannotReachIsPassedOver) {
+BOOST_AUTO_TEST_CASE(serverUnreachableFromSeveralPeersIsDeprioritized) {
   pool.applyListing({makeServer("a", 1), makeServer("b", 1)}, kStart);
   ServerLoads peers = pool.ownLoads();
   ServerLoad& suspect = peers.begin()->second;
@@ -182,15 +182,15 @@
   suspect.unreachableFrom = 2;
   pool.setPeerLoads(peers, kStart);
   BOOST_TEST(usable() == 1U);
-  // Only for a time: nobody else's word takes a server out for good.
+  // Only for a time: reports of other nodes never exclude a server permanently.
   BOOST_TEST(usable(kStart + std::chrono::seconds(1)) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(serverThatIsAboutToLoadIsPassedOverUntilItHasTheWeights) {
+BOOST_AUTO_TEST_CASE(serverWithAnnouncedWeightsIsDeprioritizedUntilLoaded) {
   pool.applyListing({makeServer("a", 1), makeServer("b", 1)}, kStart);
   pool.announceLoads({{BackendId("a"), WeightsVersion(2)}}, kStart);
   BOOST_TEST(usable() == 1U);
-  // Other nodes are told.
+  // Other nodes learn of it.
   std::size_t told = 0;
   for (const auto& [key, load] : pool.ownLoads()) {
     told += load.loading == WeightsVersion(2) ? 1 : 0;
@@ -198,24 +198,24 @@
   BOOST_TEST(told == 1U);
   pool.apply(makeServer("a", 2), kStart);
   BOOST_TEST(usable() == 2U);
-  // What was announced before says nothing of a server that has the weights.
+  // The announcement no longer applies once the server has the weights.
   for (const auto& [key, load] : pool.ownLoads()) {
     BOOST_TEST((load.loading == WeightsVersion()));
   }
 }
 
-BOOST_AUTO_TEST_CASE(serverThatAnotherNodeOrdersToLoadIsPassedOver) {
+BOOST_AUTO_TEST_CASE(serverThatAnotherNodeOrdersToLoadIsDeprioritized) {
   pool.applyListing({makeServer("a", 1), makeServer("b", 1)}, kStart);
   ServerLoads peers = pool.ownLoads();
   peers.begin()->second.loading = WeightsVersion(2);
   pool.setPeerLoads(peers, kStart);
   BOOST_TEST(usable() == 1U);
-  // Taken back, as where the order giver has changed its mind or is gone.
+  // Withdrawn, as when the ordering node has changed its decision or is gone.
   pool.setPeerLoads({}, kStart);
   BOOST_TEST(usable() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(aLoadThatIsOverEndsThePauseAfterARefusal) {
+BOOST_AUTO_TEST_CASE(completedLoadEndsThePauseAfterARefusal) {
   pool.applyListing({makeServer("a", 1), makeServer("b", 1)}, kStart);
   pool.pause(BackendId("a"), kStart + Milliseconds(1000), kStart);
   BOOST_TEST(usable(kStart + Milliseconds(500)) == 1U);
@@ -223,12 +223,12 @@
   BOOST_TEST(usable(kStart + Milliseconds(500)) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(longestQueueIsThatOfTheBusiestServerOverAllNodes) {
+BOOST_AUTO_TEST_CASE(longestQueueCountsTheLoadOfAllNodes) {
   Server a = makeServer("a", 1);
   a.slots = 2;
   pool.applyListing({a, makeServer("b", 1)}, kStart);
   BOOST_TEST(pool.longestQueue() == Milliseconds(0));
-  // 40 tokens are prefilled in a millisecond.
+  // The prefill rate is 40 tokens per millisecond.
   pool.addLoad(BackendId("b"), {8000, 8000}, kStart);
   BOOST_TEST(pool.longestQueue() >= Milliseconds(200));
   BOOST_TEST(pool.longestQueue() < Milliseconds(300));
@@ -237,11 +237,11 @@
     load = load.requests == 0 ? ServerLoad{10, 0, 0, 0} : ServerLoad{};
   }
   pool.setPeerLoads(peers, kStart);
-  // The two places of the other are taken five times over.
+  // Ten requests wait for the two slots of the other server.
   BOOST_TEST(pool.longestQueue() > Milliseconds(1000));
 }
 
-BOOST_AUTO_TEST_CASE(eachServersSpeedIsLearntByItself) {
+BOOST_AUTO_TEST_CASE(prefillRateIsLearntPerServer) {
   pool.applyListing({makeServer("a", 1), makeServer("b", 1)}, kStart);
   for (int sample = 0; sample < 100; ++sample) {
     pool.observeFirstToken(BackendId("a"), 8000, 800);
@@ -250,15 +250,16 @@
   const routing::CandidateSet& candidates = pool.candidates("llm", kModel, kStart);
   BOOST_TEST(candidates[*candidates.find(BackendId("a"))].prefillTokensPerMs < 11);
   BOOST_TEST(candidates[*candidates.find(BackendId("b"))].prefillTokensPerMs == 40);
-  // Another run of the server starts from the first guess.
+  // A new run of the server starts from the initial rate.
   pool.remove(BackendId("a"));
   pool.apply(makeServer("a", 1), kStart);
   BOOST_TEST(candidates[*candidates.find(BackendId("a"))].prefillTokensPerMs == 40);
 }
 
-/// Seen: a process that had stopped as planned with a request still running did not end, but worked
-/// on for minutes. The request's guard is destroyed after the pool and searched it. What is left of
-/// the pool here can't be searched without a crash.
+/// Guards against a guard that uses the pool after its destruction: a process stopped as planned
+/// with a request still running did not exit but kept running for minutes, as the request's guard
+/// is destroyed after the pool and searched it. The pool's memory is overwritten here so that any
+/// access crashes.
 BOOST_AUTO_TEST_CASE(guardMayOutliveThePool) {
   alignas(ServerPool) std::array<unsigned char, sizeof(ServerPool)> memory{};
   auto* shortLived = new (memory.data()) ServerPool(40, [](const Server&, ServerLoss) {});
--- a/tests/fleet/server_runs_test.cc
+++ b/tests/fleet/server_runs_test.cc
@@ -1,4 +1,4 @@
-// A server that starts again under the id that it had.
+// Restarts of a server under the same id.
 
 #include <boost/test/unit_test.hpp>
 
@@ -46,7 +46,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(server_runs, RunsFixture)
 
-BOOST_AUTO_TEST_CASE(aLaterStartDropsTheLoadAndTheSpeedOfTheEarlierRun) {
+BOOST_AUTO_TEST_CASE(laterStartDropsLoadAndPrefillRateOfTheEarlierRun) {
   pool.apply(makeRun(kFirst), kStart);
   for (int sample = 0; sample < 50; ++sample) {
     pool.observeFirstToken(kId, 8000, 800);
@@ -63,8 +63,9 @@
   BOOST_TEST(lost.front().started->value() == kFirst);
 }
 
-/// With clamped subtraction alone the earlier run's end would take the later run's load.
-BOOST_AUTO_TEST_CASE(requestsOfTheEarlierRunTakeNothingFromTheLaterRunsLoad) {
+/// With clamped subtraction alone, requests that end on the earlier run would reduce the load of
+/// the later one.
+BOOST_AUTO_TEST_CASE(endingRequestsOfTheEarlierRunKeepTheLaterRunsLoad) {
   pool.apply(makeRun(kFirst), kStart);
   pool.addLoad(kId, loadOn(kFirst), kStart);
   pool.apply(makeRun(kSecond), kStart);
@@ -92,7 +93,7 @@
   BOOST_TEST(pool.inFlightOf("llm", version) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aLaterStartEndsEjectionPauseAndUnreachability) {
+BOOST_AUTO_TEST_CASE(laterStartEndsEjectionPauseAndUnreachability) {
   pool.apply(makeRun(kFirst), kStart);
   for (std::size_t failure = 0; failure < BackendHealth::kFailuresToEject; ++failure) {
     pool.recordFailure(kId, kStart);
@@ -104,12 +105,12 @@
   Server other = makeRun(kFirst);
   other.id = BackendId("b");
   pool.apply(other, kStart);
-  // Both are preferred: nothing is passed over.
+  // Both are preferred: neither is deprioritized.
   BOOST_TEST(usable().size() == 2U);
   BOOST_TEST(pool.unreachable().empty());
 }
 
-BOOST_AUTO_TEST_CASE(aLaterStartWarmsUpAnew) {
+BOOST_AUTO_TEST_CASE(laterStartWarmsUpAgain) {
   pool.apply(makeRun(kFirst), kStart);
   const MonotonicTime warm = kStart + Milliseconds(500);
   BOOST_TEST(pool.tellsSpeed(kId, warm));
@@ -118,7 +119,7 @@
   BOOST_TEST(pool.tellsSpeed(kId, warm + Milliseconds(500)));
 }
 
-BOOST_AUTO_TEST_CASE(aLaterStartIsNoReloadAndMayBringOlderWeights) {
+BOOST_AUTO_TEST_CASE(laterStartIsNotAReloadAndMayBringOlderWeights) {
   pool.apply(makeRun(kFirst, 1), kStart);
   pool.applyWeights(kId, kModel, WeightsVersion(3), kStart);
   losses.clear();
@@ -127,7 +128,7 @@
   BOOST_TEST((losses == std::vector{ServerLoss::kRestarted}));
 }
 
-BOOST_AUTO_TEST_CASE(announcedLoadsAndLoadsOfPeersAreOfOneRun) {
+BOOST_AUTO_TEST_CASE(announcedWeightsAndPeerLoadsBelongToOneRun) {
   pool.apply(makeRun(kFirst), kStart);
   pool.announceLoads({{kId, WeightsVersion(2)}}, kStart);
   const ServerKey first = keyOf(makeRun(kFirst));
@@ -137,7 +138,7 @@
   pool.apply(makeRun(kSecond), kStart);
   BOOST_TEST(usable()[0].peerRequests == 0U);
   BOOST_TEST(pool.ownLoads().begin()->second.loading.value() == 0U);
-  // A peer that has not heard of the restart tells of the earlier run still.
+  // A peer that has not learnt of the restart still reports the earlier run.
   pool.setPeerLoads(told, kStart);
   BOOST_TEST(usable()[0].peerRequests == 0U);
   pool.setPeerLoads({{keyOf(makeRun(kSecond)), ServerLoad{2, 1, 1}}}, kStart);
@@ -151,7 +152,7 @@
   BOOST_TEST((usable()[0].incarnation > first));
 }
 
-BOOST_AUTO_TEST_CASE(newsOfAnEarlierStartChangeNothing) {
+BOOST_AUTO_TEST_CASE(earlierStartsAreIgnored) {
   pool.apply(makeRun(kSecond, 2), kStart);
   Server earlier = makeRun(kFirst, 1);
   earlier.draining = true;
@@ -167,20 +168,20 @@
   BOOST_TEST(pool.isCurrent(makeRun(kSecond)));
 }
 
-BOOST_AUTO_TEST_CASE(aReportMayTellOfALaterStartBeforeTheListDoes) {
+BOOST_AUTO_TEST_CASE(reportOfALaterStartMayPrecedeTheList) {
   pool.apply(makeRun(kFirst, 3), kStart);
   pool.addLoad(kId, loadOn(kFirst), kStart);
   pool.applyRestart(kId, Incarnation(kSecond), {{kModel, WeightsVersion(1)}}, kStart);
   BOOST_TEST(weights().value() == 1U);
   BOOST_TEST(usable()[0].outstanding == 0U);
-  // The list lags behind.
+  // The list lags behind the report.
   pool.apply(makeRun(kFirst, 3), kStart);
   BOOST_TEST(weights().value() == 1U);
   pool.apply(makeRun(kSecond, 1), kStart);
   BOOST_TEST((losses == std::vector{ServerLoss::kRestarted}));
 }
 
-BOOST_AUTO_TEST_CASE(anEntryThatCantBePlacedGivesNoWorkAndTeachesNothing) {
+BOOST_AUTO_TEST_CASE(entryWithoutAStartExcludesTheServerAndChangesNothingElse) {
   pool.apply(makeRun(kFirst, 2), kStart);
   pool.apply(makeRun(std::nullopt, 5), kStart);
   BOOST_TEST(usable().empty());
@@ -190,13 +191,13 @@
   BOOST_TEST(usable().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(serversThatTellNoStartAreKnownByTheirId) {
+BOOST_AUTO_TEST_CASE(serversWithoutAStartAreIdentifiedByTheirId) {
   pool.apply(makeRun(std::nullopt, 1), kStart);
   pool.addLoad(kId, {1000, 800}, kStart);
   pool.apply(makeRun(std::nullopt, 2), kStart);
   BOOST_TEST(usable()[0].outstanding == 1U);
   BOOST_TEST((losses == std::vector{ServerLoss::kReloaded}));
-  // The first start that is told may be another run than the one known so far.
+  // The first reported start may belong to another run than the one known so far.
   pool.apply(makeRun(kFirst, 2), kStart);
   BOOST_TEST(usable()[0].outstanding == 0U);
 }
--- a/tests/fleet/server_versions_test.cc
+++ b/tests/fleet/server_versions_test.cc
@@ -33,7 +33,7 @@
   std::size_t usable(Track track, MonotonicTime now = kStart) {
     return pool.candidates("llm", kModel, now, track).size();
   }
-  /// Where 50 prompts have their home and the two next places.
+  /// The first three servers in affinity order for each of 50 prompts.
   Ids homes(Track track = Track::kStable) {
     const routing::CandidateSet& set = pool.candidates("llm", kModel, kStart, track);
     Ids ids;
@@ -57,14 +57,14 @@
 
 BOOST_FIXTURE_TEST_SUITE(server_versions, VersionsFixture)
 
-BOOST_AUTO_TEST_CASE(withoutAStableVersionAllServersAreAlike) {
+BOOST_AUTO_TEST_CASE(allServersAreStableWithoutAStableVersion) {
   list("a", kOld, 2);
   list("b", kNew, 3);
   BOOST_TEST(usable(Track::kStable) == 5U);
   BOOST_TEST(usable(Track::kCandidate) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(eachVersionHasItsSetAndOthersNone) {
+BOOST_AUTO_TEST_CASE(eachTrackHasItsSetAndOtherVersionsNone) {
   pool.setVersions("llm", kOld, SoftwareVersion(), kStart);
   list("a", kOld, 2);
   list("b", kNew, 3);
@@ -75,14 +75,14 @@
   pool.setVersions("llm", kOld, kNew, kStart);
   BOOST_TEST(usable(Track::kStable) == 2U);
   BOOST_TEST(usable(Track::kCandidate) == 3U);
-  // Where the stable version has nothing left, no other one takes its place.
+  // If the stable version has no usable server, no other version takes its place.
   for (const std::string id : {"a0", "a1"}) {
     pool.markUnreachable(BackendId(id), kStart);
   }
   BOOST_TEST(usable(Track::kStable) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aServerKeepsToItsVersionThroughEachChange) {
+BOOST_AUTO_TEST_CASE(serverStaysOnItsTrackThroughEachChange) {
   list("a", kOld, 1);
   list("b", kNew, 1);
   pool.setVersions("llm", kOld, kNew, kStart);
@@ -96,7 +96,7 @@
   BOOST_TEST(usable(Track::kCandidate, kStart + Milliseconds(30)) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(noOrderMovesTheHomesOfTheStableVersion) {
+BOOST_AUTO_TEST_CASE(rolloutOrdersDoNotMoveHomesOfTheStableVersion) {
   list("a", kOld, 40);
   pool.setVersions("llm", kOld, SoftwareVersion(), kStart);
   const Ids before = homes();
@@ -111,7 +111,7 @@
   BOOST_TEST(homes() == before);
 }
 
-BOOST_AUTO_TEST_CASE(afterPromotionTheCandidatesSetIsTheStableOne) {
+BOOST_AUTO_TEST_CASE(promotionTurnsTheCandidateSetIntoTheStableOne) {
   list("a", kOld, 40);
   list("b", kNew, 40);
   pool.setVersions("llm", kOld, kNew, kStart);
@@ -122,7 +122,7 @@
   BOOST_TEST(usable(Track::kCandidate) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aCanaryGoesToTheSameFewServersAtAllNodes) {
+BOOST_AUTO_TEST_CASE(canaryUsesTheSameServersOnAllNodes) {
   list("b", kNew, 90);
   pool.setVersions("llm", kOld, kNew, kStart);
   const Ids few = canaryIds(0.05);
@@ -137,18 +137,18 @@
   for (const std::string& id : few) {
     BOOST_TEST(there.find(BackendId(id)).has_value());
   }
-  // One that fails is replaced by the next; the others stay.
+  // A failed server is replaced by the next one; the others stay.
   pool.markUnreachable(BackendId(few.front()), kStart);
   const Ids next = canaryIds(0.05);
   BOOST_TEST(next.size() == 5U);
   BOOST_TEST(std::includes(next.begin(), next.end(), few.begin() + 1, few.end()));
 }
 
-BOOST_AUTO_TEST_CASE(aCanaryGoesToOneServerAtLeast) {
+BOOST_AUTO_TEST_CASE(canaryUsesAtLeastOneServer) {
   list("b", kNew, 7);
   pool.setVersions("llm", kOld, kNew, kStart);
   BOOST_TEST(canaryIds(0.01).size() == 1U);
-  // A whole number of servers isn't rounded up.
+  // A whole number of servers is not rounded up.
   list("c", kNew, 13);
   BOOST_TEST(canaryIds(0.1).size() == 2U);
   BOOST_TEST(canaryIds(0.11).size() == 3U);
@@ -156,7 +156,7 @@
   BOOST_TEST(canaryIds(0.1).empty());
 }
 
-BOOST_AUTO_TEST_CASE(aCanaryLeavesOutServersThatWarmUpOrAwaitWeights) {
+BOOST_AUTO_TEST_CASE(canarySkipsServersThatWarmUpOrAwaitWeights) {
   list("b", kNew, 2);
   Server warming = makeServer("w", kNew);
   warming.warmUp = Milliseconds(500);
@@ -167,11 +167,11 @@
   BOOST_TEST(canaryIds(1, kStart + Milliseconds(500)).size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(warmingLoadingAndLoadedServersTellNothingOfSpeed) {
+BOOST_AUTO_TEST_CASE(warmingLoadingAndLoadedServersGiveNoSpeedSamples) {
   Server warming = makeServer("w", kNew);
   warming.warmUp = Milliseconds(500);
   pool.apply(warming, kStart);
-  // What a later listing says of the rest of the time doesn't lengthen it.
+  // A repeated listing does not extend the warm-up.
   pool.apply(warming, kStart + Milliseconds(300));
   const BackendId id("w");
   BOOST_TEST(!pool.tellsSpeed(id, kStart + Milliseconds(499)));
@@ -196,7 +196,7 @@
   BOOST_TEST(pool.listedVersions().at("llm").at(kNew) == 2U);
   BOOST_TEST(pool.usableOf("llm", kOld, kStart) == 1U);
   BOOST_TEST(pool.usableOf("llm", kNew, kStart) == 2U);
-  // What runs on a draining server counts as well, also what other nodes sent there.
+  // Load on draining servers counts too, including that of other nodes.
   pool.addLoad(BackendId("a2"), {10, 0}, kStart);
   pool.addLoad(BackendId("b0"), {10, 0}, kStart);
   ServerLoads peers;
@@ -209,7 +209,7 @@
   BOOST_TEST(pool.inFlightOf("other", kOld) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aServerThatAnyNodeFailedToReachIsNotReachedByAll) {
+BOOST_AUTO_TEST_CASE(serverUnreachableFromAnyNodeIsNotReachedByAll) {
   list("a", kOld, 2);
   BOOST_TEST(pool.reachedByAll(BackendId("a0")));
   ServerLoads peers = pool.ownLoads();
