--- a/src/server_limits/limit_table.cc
+++ b/src/server_limits/limit_table.cc
@@ -5,18 +5,19 @@
 namespace calicodrift::server_limits {
 namespace {
 
-/// A limit that moves by less is taken for the same, so that one that wavers is not told each time.
-constexpr double kSameShare = 0.05;
+/// Relative difference below which a limit counts as unchanged, so that fluctuations are not sent
+/// to all nodes.
+constexpr double kSameTolerance = 0.05;
 
-bool isAbout(double named, double known) {
-  return std::abs(named - known) <= kSameShare * known;
+bool isApproximately(double named, double known) {
+  return std::abs(named - known) <= kSameTolerance * known;
 }
 
-bool isStricter(const LimitFact& fact, const LimitFact& than) {
-  if (fact.limited != than.limited) {
-    return fact.limited;
+bool isStricter(const LimitRecord& record, const LimitRecord& other) {
+  if (record.limited != other.limited) {
+    return record.limited;
   }
-  return fact.limited && fact.perSecond < than.perSecond;
+  return record.limited && record.perSecond < other.perSecond;
 }
 
 LimitVersion next(LimitVersion version) {
@@ -25,83 +26,84 @@
 
 }  // namespace
 
-bool LimitTable::note(fleet::ServerKey server, LimitVersion seen, std::optional<double> named) {
-  const LimitFact* found = find(server);
-  const LimitFact known = found == nullptr ? LimitFact{server, LimitVersion()} : *found;
+bool LimitTable::recordAnswer(fleet::ServerKey server, LimitVersion seen,
+                              std::optional<double> named) {
+  const LimitRecord* found = find(server);
+  const LimitRecord known = found == nullptr ? LimitRecord{server, LimitVersion()} : *found;
   const bool isNewer = seen >= known.version;
   if (!named) {
     return known.limited && isNewer && store({server, next(known.version)});
   }
   const bool raises = known.limited && *named > known.perSecond;
-  const bool same = known.limited && isAbout(*named, known.perSecond);
-  if (same || (raises && !isNewer)) {
+  const bool unchanged = known.limited && isApproximately(*named, known.perSecond);
+  if (unchanged || (raises && !isNewer)) {
     return false;
   }
   return store({server, next(known.version), true, *named});
 }
 
-bool LimitTable::merge(const LimitFact& fact) {
-  const LimitFact* known = find(fact.server);
-  const bool isNews = known == nullptr || fact.version > known->version ||
-                      (fact.version == known->version && isStricter(fact, *known));
-  return isNews && store(fact);
+bool LimitTable::merge(const LimitRecord& record) {
+  const LimitRecord* known = find(record.server);
+  const bool isChange = known == nullptr || record.version > known->version ||
+                        (record.version == known->version && isStricter(record, *known));
+  return isChange && store(record);
 }
 
-bool LimitTable::store(const LimitFact& fact) {
-  Entry& entry = entries_[fact.server];
-  countLimited_ -= entry.fact.limited ? 1U : 0U;
-  countLimited_ += fact.limited ? 1U : 0U;
-  entry.fact = fact;
+bool LimitTable::store(const LimitRecord& record) {
+  Entry& entry = entries_[record.server];
+  countLimited_ -= entry.record.limited ? 1U : 0U;
+  countLimited_ += record.limited ? 1U : 0U;
+  entry.record = record;
   entry.changedAt = ++changes_;
-  entry.missed = false;
+  entry.unlistedOnce = false;
   return true;
 }
 
-const LimitFact* LimitTable::find(fleet::ServerKey server) const {
+const LimitRecord* LimitTable::find(fleet::ServerKey server) const {
   const auto found = entries_.find(server);
-  return found == entries_.end() ? nullptr : &found->second.fact;
+  return found == entries_.end() ? nullptr : &found->second.record;
 }
 
 LimitVersion LimitTable::versionOf(fleet::ServerKey server) const {
-  const LimitFact* known = find(server);
+  const LimitRecord* known = find(server);
   return known == nullptr ? LimitVersion() : known->version;
 }
 
 std::optional<double> LimitTable::limitOf(fleet::ServerKey server) const {
-  const LimitFact* known = find(server);
+  const LimitRecord* known = find(server);
   return known != nullptr && known->limited ? std::optional(known->perSecond) : std::nullopt;
 }
 
-std::vector<LimitFact> LimitTable::changedSince(std::uint64_t change) const {
-  std::vector<LimitFact> facts;
+std::vector<LimitRecord> LimitTable::changedSince(std::uint64_t change) const {
+  std::vector<LimitRecord> records;
   for (const auto& [server, entry] : entries_) {
     if (entry.changedAt > change) {
-      facts.push_back(entry.fact);
+      records.push_back(entry.record);
     }
   }
-  return facts;
+  return records;
 }
 
-std::vector<LimitFact> LimitTable::limited() const {
-  std::vector<LimitFact> facts;
+std::vector<LimitRecord> LimitTable::limited() const {
+  std::vector<LimitRecord> records;
   for (const auto& [server, entry] : entries_) {
-    if (entry.fact.limited) {
-      facts.push_back(entry.fact);
+    if (entry.record.limited) {
+      records.push_back(entry.record);
     }
   }
-  return facts;
+  return records;
 }
 
-void LimitTable::forgetGone(const std::function<bool(fleet::ServerKey)>& isListed) {
+void LimitTable::removeUnlisted(const std::function<bool(fleet::ServerKey)>& isListed) {
   for (auto item = entries_.begin(); item != entries_.end();) {
     Entry& entry = item->second;
-    const bool gone = !isListed(item->first);
-    if (gone && entry.missed) {
-      countLimited_ -= entry.fact.limited ? 1U : 0U;
+    const bool unlisted = !isListed(item->first);
+    if (unlisted && entry.unlistedOnce) {
+      countLimited_ -= entry.record.limited ? 1U : 0U;
       item = entries_.erase(item);
       continue;
     }
-    entry.missed = gone;
+    entry.unlistedOnce = unlisted;
     ++item;
   }
 }
--- a/src/server_limits/messages.h
+++ b/src/server_limits/messages.h
@@ -7,66 +7,68 @@
 #include <string_view>
 #include <vector>
 
-#include "server_limits/limit_fact.h"
+#include "server_limits/limit_record.h"
 
-/// What nodes tell each other of servers' limits. Paths of their own: a node of a build without
-/// them answers 404, and no other message changes its form.
+/// Messages between nodes about servers' limits. They use separate paths: a node of a build without
+/// this module answers 404, and no other message changes its format.
 namespace calicodrift::server_limits {
 
 inline constexpr std::string_view kReportPath = "/server-limits/report";
 inline constexpr std::string_view kUnitPath = "/server-limits/unit";
 
-/// Form of the messages. Later forms append fields only: a reader passes over what it doesn't know.
+/// Format version of the messages. Later versions only append fields; readers ignore fields that
+/// they do not know.
 inline constexpr std::uint32_t kForm = 2;
-/// The first form of a report that tells which servers leave.
+/// First format version whose reports list leaving servers.
 inline constexpr std::uint32_t kFormWithLeaving = 2;
 
-/// Told to the neighbours in the relay tree when something is new, and the answer to it.
+/// Sent to the neighbours in the relay tree when there is news, and returned as the answer.
 struct LimitReport {
   std::uint32_t form = kForm;
-  /// The sender's own address between nodes.
+  /// Address of the sender between nodes.
   std::string sender;
-  /// The sender has told this neighbour nothing before: the answer tells all.
+  /// The sender has not sent this neighbour anything before: the answer contains all records.
   bool fresh = false;
-  /// How long the sender waits until the receiver has told its own neighbours.
+  /// How long the sender waits until the receiver has forwarded the report to its own neighbours.
   std::uint32_t waitMs = 0;
-  std::vector<LimitFact> facts;
-  /// Runs of servers that have said that they leave.
+  std::vector<LimitRecord> records;
+  /// Runs of servers that have announced that they are leaving.
   std::vector<fleet::ServerKey> leaving;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(form, sender, fresh, waitMs, facts);
+    archive(form, sender, fresh, waitMs, records);
     if (form >= kFormWithLeaving) {
       archive(leaving);
     }
   }
 };
 
-/// Asks for a unit of a server's limit, or gives one back.
+/// Requests a unit of a server's limit, or returns one.
 struct UnitRequest {
   std::uint32_t form = kForm;
-  /// As the sender knows it.
-  LimitFact limit;
-  bool givesBack = false;
-  /// Roots that it has come through. Bounded, as two roots may take each other for the first.
+  /// Limit as known to the sender.
+  LimitRecord limit;
+  bool isReturn = false;
+  /// Number of roots that have forwarded the request. Bounded, as two roots may each consider the
+  /// other the first.
   std::uint32_t hops = 0;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(form, limit, givesBack, hops);
+    archive(form, limit, isReturn, hops);
   }
 };
 
 struct UnitReply {
   std::uint32_t form = kForm;
-  /// False where this node may not give out units now, and knows nobody who does.
+  /// False if this node must not issue units now and reaches no node that may.
   bool decided = false;
   bool granted = false;
-  /// Where it is refused: until the next unit comes.
+  /// If refused: time until the next unit is available.
   std::uint32_t waitMs = 0;
-  /// As the answering node knows it.
-  LimitFact limit;
+  /// Limit as known to the answering node.
+  LimitRecord limit;
 
   template <typename Archive>
   void serialize(Archive& archive) {
--- a/src/server_limits/metrics.h
+++ b/src/server_limits/metrics.h
@@ -4,26 +4,26 @@
 
 namespace calicodrift::server_limits {
 
-/// All counters of the module.
+/// Metrics of the server_limits module.
 class ServerLimitMetrics {
  public:
   explicit ServerLimitMetrics(prometheus::Registry& registry);
 
-  /// The head of an answer of this node named a limit that was not known, or another one.
+  /// The head of an answer to this node named a new or a changed limit.
   void countNamed() { named_.Increment(); }
-  /// The same named none any more.
+  /// The head of an answer to this node no longer named a limit.
   void countLifted() { lifted_.Increment(); }
-  /// What a head named can't be read.
+  /// The limit named in the head of an answer could not be parsed.
   void countUnreadable() { unreadable_.Increment(); }
-  /// Units that requests of this node asked for.
+  /// A unit requested by this node was granted or refused.
   void countUnit(bool granted) { (granted ? granted_ : refused_).Increment(); }
-  /// No node that may give out units answered.
+  /// No node that may issue units answered.
   void countUndecided() { undecided_.Increment(); }
-  /// Reports to neighbours, by whether they were taken.
+  /// A report to a neighbour was accepted or failed.
   void countReport(bool taken) { (taken ? takenReports_ : failedReports_).Increment(); }
-  /// Another node told that a server leaves.
+  /// Another node reported that a server is leaving.
   void countLeavingLearnt() { leavingLearnt_.Increment(); }
-  /// Servers that this node asked because nobody else did.
+  /// This node probed a limited server that had received no requests.
   void countProbe() { probes_.Increment(); }
   void observeWait(double seconds) { wait_.Observe(seconds); }
   void setLimited(std::size_t servers) { limited_.Set(static_cast<double>(servers)); }
--- a/src/server_limits/notice_exchange.cc
+++ b/src/server_limits/notice_exchange.cc
@@ -17,18 +17,18 @@
     : context_(std::move(context)),
       limits_(limits),
       metrics_(metrics),
-      limitNews_(newsContext([this] { return limits_.changes(); },
-                             [this](std::uint64_t since) {
-                               LimitReport report;
-                               report.facts = limits_.changedSince(since);
-                               return report;
-                             })),
-      leavingNews_(newsContext([this] { return context_.pool.leaving().changes(); },
-                               [this](std::uint64_t since) {
-                                 LimitReport report;
-                                 report.leaving = context_.pool.leaving().notedSince(since);
-                                 return report;
-                               })) {}
+      limitSpreader_(newsContext([this] { return limits_.changes(); },
+                                 [this](std::uint64_t since) {
+                                   LimitReport report;
+                                   report.records = limits_.changedSince(since);
+                                   return report;
+                                 })),
+      leavingSpreader_(newsContext([this] { return context_.pool.leaving().changes(); },
+                                   [this](std::uint64_t since) {
+                                     LimitReport report;
+                                     report.leaving = context_.pool.leaving().notedSince(since);
+                                     return report;
+                                   })) {}
 
 relay::NewsContext NoticeExchange::newsContext(
     std::function<std::uint64_t()> version, std::function<LimitReport(std::uint64_t since)> news) {
@@ -41,19 +41,20 @@
 
 awaitable<void> NoticeExchange::update() {
   co_await findOtherTrees();
-  greetNeighbours();
-  limitNews_.forgetFormerNeighbours();
-  leavingNews_.forgetFormerNeighbours();
-  limitNews_.tellSoon();
-  leavingNews_.tellSoon();
+  synchronizeNewNeighbours();
+  limitSpreader_.forgetFormerNeighbours();
+  leavingSpreader_.forgetFormerNeighbours();
+  limitSpreader_.tellSoon();
+  leavingSpreader_.tellSoon();
 }
 
 awaitable<void> NoticeExchange::findOtherTrees() {
-  // Their lists cost a call each, so that they are read only where there is news for them.
-  if (context_.trees.size() < 2 || !context_.tree.isRoot() || changes() == otherTreesChange_) {
+  // Reading the roots of the other trees takes a call each, so it is done only if there is news for
+  // them.
+  if (context_.trees.size() < 2 || !context_.tree.isRoot() || changes() == otherTreeRootsChange_) {
     co_return;
   }
-  otherTreesChange_ = changes();
+  otherTreeRootsChange_ = changes();
   std::vector<Endpoint> found;
   for (const std::string& tree : context_.trees) {
     if (tree != context_.ownTree) {
@@ -61,46 +62,47 @@
       found.insert(found.end(), roots.begin(), roots.end());
     }
   }
-  otherTrees_ = std::move(found);
+  otherTreeRoots_ = std::move(found);
 }
 
 std::vector<Endpoint> NoticeExchange::neighbours() const {
   const bool isRoot = context_.tree.isRoot();
-  return relay::neighboursIn(context_.tree, isRoot, isRoot ? otherTrees_ : std::vector<Endpoint>());
+  return relay::neighboursIn(context_.tree, isRoot,
+                             isRoot ? otherTreeRoots_ : std::vector<Endpoint>());
 }
 
-void NoticeExchange::greetNeighbours() {
+void NoticeExchange::synchronizeNewNeighbours() {
   const std::vector<Endpoint> now = neighbours();
-  std::erase_if(greeted_, [&now](const Endpoint& one) {
+  std::erase_if(synchronized_, [&now](const Endpoint& one) {
     return !std::binary_search(now.begin(), now.end(), one);
   });
   for (const Endpoint& neighbour : now) {
-    if (!greeted_.contains(neighbour) && greeting_.insert(neighbour).second) {
-      asio::co_spawn(context_.executor, greet(neighbour), asio::detached);
+    if (!synchronized_.contains(neighbour) && synchronizing_.insert(neighbour).second) {
+      asio::co_spawn(context_.executor, synchronizeWith(neighbour), asio::detached);
     }
   }
   settled_ = settled_ || context_.tree.isRoot() || context_.tree.isAlone();
 }
 
-awaitable<void> NoticeExchange::greet(Endpoint neighbour) {
+awaitable<void> NoticeExchange::synchronizeWith(Endpoint neighbour) {
   LimitReport report;
   report.fresh = true;
-  report.facts = limits_.changedSince(0);
+  report.records = limits_.changedSince(0);
   report.leaving = context_.pool.leaving().notedSince(0);
-  const std::uint64_t toldLimits = limits_.changes();
-  const std::uint64_t toldLeaving = context_.pool.leaving().changes();
+  const std::uint64_t sentLimits = limits_.changes();
+  const std::uint64_t sentLeaving = context_.pool.leaving().changes();
   const Result<LimitReport> answer =
       co_await send(neighbour, std::move(report), relay::NewsSpreader::kTellTime);
-  greeting_.erase(neighbour);
-  const bool isOlder = !answer && answer.error().kind == ErrorKind::kProtocolViolation;
-  if (!answer && !isOlder) {
+  synchronizing_.erase(neighbour);
+  const bool isOlderBuild = !answer && answer.error().kind == ErrorKind::kProtocolViolation;
+  if (!answer && !isOlderBuild) {
     co_return;
   }
-  greeted_.insert(neighbour);
+  synchronized_.insert(neighbour);
   settled_ = settled_ || context_.tree.parent() == neighbour;
   if (answer) {
-    limitNews_.setTold(neighbour.toString(), toldLimits);
-    leavingNews_.setTold(neighbour.toString(), toldLeaving);
+    limitSpreader_.setTold(neighbour.toString(), sentLimits);
+    leavingSpreader_.setTold(neighbour.toString(), sentLeaving);
     merge(answer.value());
   }
 }
@@ -124,7 +126,7 @@
                                                  std::move(report), timeout, timeout);
 }
 
-awaitable<LimitReport> NoticeExchange::takeReport(LimitReport report) {
+awaitable<LimitReport> NoticeExchange::handleReport(LimitReport report) {
   const fleet::LeavingServers& leaving = context_.pool.leaving();
   const std::uint64_t limitsBefore = limits_.changes();
   const std::uint64_t leavingBefore = leaving.changes();
@@ -132,40 +134,40 @@
   LimitReport answer;
   answer.sender = context_.tree.endpoint.toString();
   if (report.fresh) {
-    answer.facts = limits_.changedSince(0);
+    answer.records = limits_.changedSince(0);
     answer.leaving = leaving.notedSince(0);
-    limitNews_.setTold(report.sender, limits_.changes());
-    leavingNews_.setTold(report.sender, leaving.changes());
+    limitSpreader_.setTold(report.sender, limits_.changes());
+    leavingSpreader_.setTold(report.sender, leaving.changes());
   } else {
-    // A sender that started anew may know less than it did.
-    for (const LimitFact& told : report.facts) {
-      const LimitFact* known = limits_.find(told.server);
-      if (known != nullptr && *known != told) {
-        answer.facts.push_back(*known);
+    // A restarted sender may know less than before.
+    for (const LimitRecord& received : report.records) {
+      const LimitRecord* known = limits_.find(received.server);
+      if (known != nullptr && *known != received) {
+        answer.records.push_back(*known);
       }
     }
-    limitNews_.onNewsFrom(report.sender, limitsBefore);
-    leavingNews_.onNewsFrom(report.sender, leavingBefore);
+    limitSpreader_.onNewsFrom(report.sender, limitsBefore);
+    leavingSpreader_.onNewsFrom(report.sender, leavingBefore);
   }
   const Milliseconds wait = std::min(Milliseconds(report.waitMs), relay::NewsSpreader::kTellTime);
   if (limits_.changes() != limitsBefore) {
-    co_await limitNews_.tell(wait, report.sender);
+    co_await limitSpreader_.tell(wait, report.sender);
   }
   if (leaving.changes() != leavingBefore) {
-    co_await leavingNews_.tell(wait, report.sender);
+    co_await leavingSpreader_.tell(wait, report.sender);
   }
   co_return answer;
 }
 
 void NoticeExchange::merge(const LimitReport& report) {
-  mergeLimits(report.facts);
+  mergeLimits(report.records);
   mergeLeaving(report.leaving);
 }
 
-void NoticeExchange::mergeLimits(const std::vector<LimitFact>& facts) {
-  for (const LimitFact& fact : facts) {
-    if (limits_.merge(fact)) {
-      context_.onLimitLearnt(fact);
+void NoticeExchange::mergeLimits(const std::vector<LimitRecord>& records) {
+  for (const LimitRecord& record : records) {
+    if (limits_.merge(record)) {
+      context_.onLimitLearnt(record);
     }
   }
 }
--- a/src/server_limits/notice_exchange.h
+++ b/src/server_limits/notice_exchange.h
@@ -18,37 +18,39 @@
 
 namespace calicodrift::server_limits {
 
-/// What the exchange needs of the node. All of it outlives it, on one thread.
+/// Dependencies of the exchange. All of them outlive it, and everything runs on one thread.
 struct NoticeExchangeContext {
   boost::asio::any_io_executor executor;
   http::Client& client;
   relay::TreePlace tree;
-  /// Knows which runs of servers leave.
+  /// Holds the runs of servers that are leaving.
   fleet::ServerPool& pool;
-  /// Names of all trees of the fleet and this node's own, and the roots of another one. A single
-  /// name where there is one tree.
+  /// Names of all relay trees of the fleet, the name of this node's own tree, and a function that
+  /// returns the roots of another tree. A single name if there is one tree.
   std::vector<std::string> trees;
   std::string ownTree;
   std::function<boost::asio::awaitable<std::vector<Endpoint>>(std::string tree)> rootsOfTree;
-  /// A limit was told by another node.
-  std::function<void(const LimitFact&)> onLimitLearnt;
+  /// Called when another node has reported a changed limit.
+  std::function<void(const LimitRecord&)> onLimitLearnt;
 };
 
-/// Tells all nodes what servers say of themselves: their limits, and that they leave. News goes to
-/// the neighbours in the relay tree at once; a new neighbour is told, and asked for, everything.
+/// Distributes to all nodes what servers announce about themselves: their limits, and that they are
+/// leaving. News is sent to the neighbours in the relay tree at once; with a new neighbour the full
+/// state is exchanged.
 class NoticeExchange {
  public:
   NoticeExchange(NoticeExchangeContext context, LimitTable& limits, ServerLimitMetrics& metrics);
 
-  /// Greets new neighbours, and tells those that have not been told. Called at short intervals.
+  /// Synchronizes new neighbours and sends pending news to the others. Called at short intervals.
   boost::asio::awaitable<void> update();
-  void tellLimits() { limitNews_.tellSoon(); }
-  void tellLeaving() { leavingNews_.tellSoon(); }
-  /// Takes the limits into the table, and tells of those that are news here.
-  void mergeLimits(const std::vector<LimitFact>& facts);
-  /// Another node's report; gives the answer to it once this node's neighbours were told.
-  boost::asio::awaitable<LimitReport> takeReport(LimitReport report);
-  /// Whether the node knows what the others know.
+  void announceLimits() { limitSpreader_.tellSoon(); }
+  void tellLeaving() { leavingSpreader_.tellSoon(); }
+  /// Merges limits into the table, and reports those that changed to onLimitLearnt.
+  void mergeLimits(const std::vector<LimitRecord>& records);
+  /// Handles another node's report; returns the answer once this node's neighbours have been
+  /// informed.
+  boost::asio::awaitable<LimitReport> handleReport(LimitReport report);
+  /// Whether this node has the state known to the other nodes.
   bool settled() const { return settled_; }
 
  private:
@@ -57,8 +59,8 @@
   std::vector<Endpoint> neighbours() const;
   boost::asio::awaitable<void> findOtherTrees();
   std::uint64_t changes() const { return limits_.changes() + context_.pool.leaving().changes(); }
-  void greetNeighbours();
-  boost::asio::awaitable<void> greet(Endpoint neighbour);
+  void synchronizeNewNeighbours();
+  boost::asio::awaitable<void> synchronizeWith(Endpoint neighbour);
   boost::asio::awaitable<bool> push(Endpoint neighbour, LimitReport report, Milliseconds wait,
                                     Milliseconds timeout);
   boost::asio::awaitable<Result<LimitReport>> send(Endpoint neighbour, LimitReport report,
@@ -69,13 +71,13 @@
   NoticeExchangeContext context_;
   LimitTable& limits_;
   ServerLimitMetrics& metrics_;
-  relay::NewsSpreader limitNews_;
-  relay::NewsSpreader leavingNews_;
-  std::set<Endpoint> greeted_;
-  std::set<Endpoint> greeting_;
+  relay::NewsSpreader limitSpreader_;
+  relay::NewsSpreader leavingSpreader_;
+  std::set<Endpoint> synchronized_;
+  std::set<Endpoint> synchronizing_;
   /// Roots of the other trees.
-  std::vector<Endpoint> otherTrees_;
-  std::uint64_t otherTreesChange_ = 0;
+  std::vector<Endpoint> otherTreeRoots_;
+  std::uint64_t otherTreeRootsChange_ = 0;
   bool settled_ = false;
 };
 
--- a/src/server_limits/root_order.cc
+++ b/src/server_limits/root_order.cc
@@ -7,22 +7,22 @@
 namespace calicodrift::server_limits {
 namespace {
 
-std::uint64_t rank(fleet::ServerKey server, const std::string& name) {
+std::uint64_t hashRank(fleet::ServerKey server, const std::string& name) {
   return hashPair(server.value(), hashBytes(name));
 }
 
 }  // namespace
 
-const std::string& chooseFor(fleet::ServerKey server, const std::vector<std::string>& names) {
+const std::string& selectByHash(fleet::ServerKey server, const std::vector<std::string>& names) {
   return *std::max_element(names.begin(), names.end(),
                            [server](const std::string& left, const std::string& right) {
-                             return rank(server, left) < rank(server, right);
+                             return hashRank(server, left) < hashRank(server, right);
                            });
 }
 
-std::vector<Endpoint> inOrderFor(fleet::ServerKey server, std::vector<Endpoint> roots) {
+std::vector<Endpoint> rankRoots(fleet::ServerKey server, std::vector<Endpoint> roots) {
   std::sort(roots.begin(), roots.end(), [server](const Endpoint& left, const Endpoint& right) {
-    return rank(server, left.toString()) > rank(server, right.toString());
+    return hashRank(server, left.toString()) > hashRank(server, right.toString());
   });
   return roots;
 }
--- a/src/server_limits/root_order.h
+++ b/src/server_limits/root_order.h
@@ -8,13 +8,12 @@
 
 namespace calicodrift::server_limits {
 
-/// The name among these that the server's key gives: the same at all nodes that know the same
-/// names.
+/// Selects the name for the server's key; all nodes that know the same names select the same one.
 /// @param names not empty.
-const std::string& chooseFor(fleet::ServerKey server, const std::vector<std::string>& names);
-/// The roots in the order in which they give out the server's units: the first does, the others
-/// where it is gone. By rendezvous hashing, so that all nodes that know the same roots agree and a
-/// change of one root moves its own servers only.
-std::vector<Endpoint> inOrderFor(fleet::ServerKey server, std::vector<Endpoint> roots);
+const std::string& selectByHash(fleet::ServerKey server, const std::vector<std::string>& names);
+/// Sorts the roots by their precedence for issuing the server's units: the first one issues them,
+/// the others take over if it is gone. Uses rendezvous hashing, so that all nodes that know the
+/// same roots agree, and a change of one root affects its own servers only.
+std::vector<Endpoint> rankRoots(fleet::ServerKey server, std::vector<Endpoint> roots);
 
 }  // namespace calicodrift::server_limits
--- a/src/server_limits/root_silence.cc
+++ b/src/server_limits/root_silence.cc
@@ -3,28 +3,29 @@
 namespace calicodrift::server_limits {
 namespace {
 
-/// What came of calls that lie further apart is not one silence: it may have answered others.
-constexpr Milliseconds kLongestGap{1000};
+/// Failed calls further apart do not form one outage: the root may have answered other nodes in
+/// between.
+constexpr Milliseconds kMaxCallGap{1000};
 
 }  // namespace
 
 void RootSilence::noteFailure(const Endpoint& root, MonotonicTime now) {
-  const auto [found, isNew] = silent_.try_emplace(root, Silence{now, now});
-  if (!isNew && now - found->second.last > kLongestGap) {
+  const auto [found, isNew] = outages_.try_emplace(root, Outage{now, now});
+  if (!isNew && now - found->second.last > kMaxCallGap) {
     found->second.since = now;
   }
   found->second.last = now;
 }
 
 bool RootSilence::isSilent(const Endpoint& root, MonotonicTime now) const {
-  const auto found = silent_.find(root);
-  return found != silent_.end() && now - found->second.last < kPause;
+  const auto found = outages_.find(root);
+  return found != outages_.end() && now - found->second.last < kRetryDelay;
 }
 
-bool RootSilence::isGone(const Endpoint& root, MonotonicTime now) const {
-  const auto found = silent_.find(root);
-  return found != silent_.end() && now - found->second.last <= kLongestGap &&
-         now - found->second.since >= kTakeover;
+bool RootSilence::isPresumedDead(const Endpoint& root, MonotonicTime now) const {
+  const auto found = outages_.find(root);
+  return found != outages_.end() && now - found->second.last <= kMaxCallGap &&
+         now - found->second.since >= kTakeoverDelay;
 }
 
 }  // namespace calicodrift::server_limits
--- a/src/server_limits/root_silence.h
+++ b/src/server_limits/root_silence.h
@@ -7,29 +7,29 @@
 
 namespace calicodrift::server_limits {
 
-/// Which roots do not answer, and since when. No I/O; calls are told the time.
+/// Tracks which roots do not answer, and since when. Does no I/O; callers pass the time.
 class RootSilence {
  public:
-  void noteAnswer(const Endpoint& root) { silent_.erase(root); }
+  void noteAnswer(const Endpoint& root) { outages_.erase(root); }
   void noteFailure(const Endpoint& root, MonotonicTime now);
-  /// It failed a moment ago, and is not worth another call yet.
+  /// Whether a call failed recently, so that another one is not worthwhile yet.
   bool isSilent(const Endpoint& root, MonotonicTime now) const;
-  /// It has answered nothing for kTakeover, though it was asked all the time.
-  bool isGone(const Endpoint& root, MonotonicTime now) const;
+  /// Whether the root has answered nothing for kTakeoverDelay although it was called throughout.
+  bool isPresumedDead(const Endpoint& root, MonotonicTime now) const;
 
-  /// Before a silent root is asked again.
-  static constexpr Milliseconds kPause{300};
-  /// Longer than a list of roots needs to be changed, and than a root goes on without proof of its
-  /// place: RelaySettings::tenure.
-  static constexpr Milliseconds kTakeover{4000};
+  /// Delay before a silent root is called again.
+  static constexpr Milliseconds kRetryDelay{300};
+  /// Longer than it takes to update a list of roots, and than a root continues without proof of its
+  /// role: RelaySettings::tenure.
+  static constexpr Milliseconds kTakeoverDelay{4000};
 
  private:
-  struct Silence {
+  struct Outage {
     MonotonicTime since{};
     MonotonicTime last{};
   };
 
-  std::map<Endpoint, Silence> silent_;
+  std::map<Endpoint, Outage> outages_;
 };
 
 }  // namespace calicodrift::server_limits
--- a/src/server_limits/server_limit_node.cc
+++ b/src/server_limits/server_limit_node.cc
@@ -18,20 +18,21 @@
 
 namespace {
 
-/// Until the first answer of the others.
+/// Update interval until the other nodes have answered.
 constexpr Milliseconds kStartInterval{100};
-/// Between two looks for runs that have gone.
-constexpr Milliseconds kForgetInterval{15'000};
-/// From a root to one of another tree, and to the first one there.
-constexpr std::uint32_t kMostHops = 2;
-/// For another root's answer, so that the node that asked this one still waits.
+/// Interval between removals of unlisted runs.
+constexpr Milliseconds kExpiryInterval{15'000};
+/// One hop from a root to a root of another tree, and one to the first root there.
+constexpr std::uint32_t kMaxHops = 2;
+/// Timeout of a call to another root; short enough that the node that called this one is still
+/// waiting.
 constexpr Milliseconds kForwardTimeout{80};
-/// The same from another tree.
-constexpr Milliseconds kFarForwardTimeout{400};
-/// Where nobody could decide.
+/// The same for a root of another tree.
+constexpr Milliseconds kCrossTreeForwardTimeout{400};
+/// Wait told to the caller if no node could decide.
 constexpr Milliseconds kUndecidedWait{250};
 
-std::string textOf(double perSecond) {
+std::string formatRate(double perSecond) {
   return std::to_string(perSecond);
 }
 
@@ -46,7 +47,7 @@
   return {context_.executor,    context_.client,
           context_.tree,        context_.pool,
           context_.trees,       context_.ownTree,
-          context_.rootsOfTree, [this](const LimitFact& fact) { onLimitLearnt(fact); }};
+          context_.rootsOfTree, [this](const LimitRecord& record) { onLimitLearnt(record); }};
 }
 
 std::optional<fleet::Server> ServerLimitNode::serverOf(fleet::ServerKey run) const {
@@ -63,15 +64,15 @@
   asio::steady_timer timer(context_.executor);
   for (;;) {
     co_await notices_.update();
-    forgetGone(monotonicNow());
-    lookAfterOwned();
+    removeUnlisted(monotonicNow());
+    maintainIssuedServers();
     timer.expires_after(synchronized() ? kInterval : kStartInterval);
     co_await timer.async_wait(asio::use_awaitable);
   }
 }
 
 bool ServerLimitNode::synchronized() const {
-  return notices_.settled() || monotonicNow() - startedAt_ > kLongestStart;
+  return notices_.settled() || monotonicNow() - startedAt_ > kMaxStartupTime;
 }
 
 awaitable<void> ServerLimitNode::handle(http::Request& request, http::ResponseWriter& writer) {
@@ -81,17 +82,17 @@
     co_return;
   }
   co_await peer::answerPeer<LimitReport, LimitReport>(request, writer, [this](LimitReport report) {
-    return notices_.takeReport(std::move(report));
+    return notices_.handleReport(std::move(report));
   });
 }
 
-void ServerLimitNode::onLimitLearnt(const LimitFact& fact) {
-  refusedUntil_.erase(fact.server);
-  const std::optional<fleet::Server> server = serverOf(fact.server);
+void ServerLimitNode::onLimitLearnt(const LimitRecord& record) {
+  refusedUntil_.erase(record.server);
+  const std::optional<fleet::Server> server = serverOf(record.server);
   log::write(log::Level::kInfo, "server_limit_learnt",
              {{"server", server ? server->id.value() : ""},
-              {"per_second", fact.limited ? textOf(fact.perSecond) : "none"},
-              {"version", std::to_string(fact.version.value())}});
+              {"per_second", record.limited ? formatRate(record.perSecond) : "none"},
+              {"version", std::to_string(record.version.value())}});
 }
 
 void ServerLimitNode::noteHead(const fleet::Server& server, LimitVersion seen,
@@ -108,7 +109,7 @@
     }
     return;
   }
-  if (!table_.note(key, seen, named.value())) {
+  if (!table_.recordAnswer(key, seen, named.value())) {
     return;
   }
   refusedUntil_.erase(key);
@@ -119,30 +120,30 @@
   }
   log::write(log::Level::kInfo, named.value() ? "server_limit_named" : "server_limit_lifted",
              {{"server", server.id.value()},
-              {"per_second", named.value() ? textOf(*named.value()) : "none"},
+              {"per_second", named.value() ? formatRate(*named.value()) : "none"},
               {"version", std::to_string(table_.versionOf(key).value())},
               {"known_at_send", std::to_string(seen.value())}});
-  notices_.tellLimits();
+  notices_.announceLimits();
 }
 
-std::vector<Endpoint> ServerLimitNode::order(fleet::ServerKey server) const {
-  return inOrderFor(server, context_.granters());
+std::vector<Endpoint> ServerLimitNode::rankedRoots(fleet::ServerKey server) const {
+  return rankRoots(server, context_.grantingRoots());
 }
 
-const std::string& ServerLimitNode::treeOf(fleet::ServerKey server) const {
+const std::string& ServerLimitNode::treeFor(fleet::ServerKey server) const {
   if (context_.trees.empty()) {
     return context_.ownTree;
   }
-  return chooseFor(server, context_.trees);
+  return selectByHash(server, context_.trees);
 }
 
 Milliseconds ServerLimitNode::unitTimeout() const {
-  return context_.trees.size() > 1 ? kFarUnitTimeout : kUnitTimeout;
+  return context_.trees.size() > 1 ? kCrossTreeUnitTimeout : kUnitTimeout;
 }
 
 awaitable<UnitVerdict> ServerLimitNode::take(fleet::Server server) {
   const fleet::ServerKey key = fleet::keyOf(server);
-  const LimitFact* known = table_.find(key);
+  const LimitRecord* known = table_.find(key);
   if (known == nullptr || !known->limited) {
     co_return UnitVerdict{};
   }
@@ -169,47 +170,47 @@
     co_return UnitVerdict{true, tookUnit, Milliseconds(0)};
   }
   const Milliseconds wait = reply.decided ? Milliseconds(reply.waitMs) : kUndecidedWait;
-  refusedUntil_[key] = now + std::min(wait, kLongestRefusal);
+  refusedUntil_[key] = now + std::min(wait, kMaxRefusalTime);
   co_return UnitVerdict{false, false, wait};
 }
 
 void ServerLimitNode::giveBack(const fleet::Server& server) {
-  const LimitFact* known = table_.find(fleet::keyOf(server));
+  const LimitRecord* known = table_.find(fleet::keyOf(server));
   if (known == nullptr || !known->limited) {
     return;
   }
   UnitRequest request;
   request.limit = *known;
-  request.givesBack = true;
+  request.isReturn = true;
   asio::co_spawn(
       context_.executor,
       [this, request]() -> awaitable<void> { static_cast<void>(co_await ask(request)); },
       asio::detached);
 }
 
-UnitReply ServerLimitNode::emptyReply(const UnitRequest& request) const {
+UnitReply ServerLimitNode::undecidedReply(const UnitRequest& request) const {
   UnitReply reply;
-  const LimitFact* known = table_.find(request.limit.server);
+  const LimitRecord* known = table_.find(request.limit.server);
   reply.limit = known == nullptr ? request.limit : *known;
   return reply;
 }
 
 awaitable<UnitReply> ServerLimitNode::ask(UnitRequest request) {
-  if (context_.tree.isAlone() && treeOf(request.limit.server) == context_.ownTree) {
-    co_return mint(request);
+  if (context_.tree.isAlone() && treeFor(request.limit.server) == context_.ownTree) {
+    co_return issueUnit(request);
   }
-  for (const Endpoint& root : order(request.limit.server)) {
+  for (const Endpoint& root : rankedRoots(request.limit.server)) {
     UnitReply reply;
     if (root == context_.tree.endpoint) {
       reply = co_await decide(request);
-    } else if (!silence_.isSilent(root, monotonicNow())) {
+    } else if (!rootSilence_.isSilent(root, monotonicNow())) {
       reply = co_await call(root, request, unitTimeout());
     }
     if (reply.decided) {
       co_return reply;
     }
   }
-  co_return emptyReply(request);
+  co_return undecidedReply(request);
 }
 
 awaitable<UnitReply> ServerLimitNode::call(Endpoint root, UnitRequest request,
@@ -217,30 +218,30 @@
   const Result<UnitReply> reply = co_await peer::callPeer<UnitReply>(
       context_.client, root, kUnitPath, request, timeout, timeout);
   if (!reply) {
-    silence_.noteFailure(root, monotonicNow());
-    co_return emptyReply(request);
+    rootSilence_.noteFailure(root, monotonicNow());
+    co_return undecidedReply(request);
   }
-  silence_.noteAnswer(root);
+  rootSilence_.noteAnswer(root);
   notices_.mergeLimits({reply.value().limit});
   co_return reply.value();
 }
 
-awaitable<UnitReply> ServerLimitNode::callTree(std::string tree, UnitRequest request) {
+awaitable<UnitReply> ServerLimitNode::forwardToTree(std::string tree, UnitRequest request) {
   ++request.hops;
   const std::vector<Endpoint> roots = co_await context_.rootsOfTree(std::move(tree));
   for (const Endpoint& root : roots) {
-    const UnitReply reply = co_await call(root, request, kFarForwardTimeout);
+    const UnitReply reply = co_await call(root, request, kCrossTreeForwardTimeout);
     if (reply.decided) {
       co_return reply;
     }
   }
-  co_return emptyReply(request);
+  co_return undecidedReply(request);
 }
 
 awaitable<UnitReply> ServerLimitNode::decide(UnitRequest request) {
   notices_.mergeLimits({request.limit});
   const fleet::ServerKey server = request.limit.server;
-  UnitReply reply = emptyReply(request);
+  UnitReply reply = undecidedReply(request);
   if (!reply.limit.limited) {
     reply.decided = true;
     reply.granted = true;
@@ -249,125 +250,126 @@
   if (!context_.tree.isRoot() && !context_.tree.isAlone()) {
     co_return reply;
   }
-  if (treeOf(server) != context_.ownTree) {
+  if (treeFor(server) != context_.ownTree) {
     if (request.hops == 0) {
-      reply = co_await callTree(treeOf(server), request);
+      reply = co_await forwardToTree(treeFor(server), request);
     }
     co_return reply;
   }
-  for (const Endpoint& root : rootsBefore(server)) {
-    if (request.hops >= kMostHops || silence_.isSilent(root, monotonicNow())) {
+  for (const Endpoint& root : precedingRoots(server)) {
+    if (request.hops >= kMaxHops || rootSilence_.isSilent(root, monotonicNow())) {
       continue;
     }
     UnitRequest forwarded = request;
     ++forwarded.hops;
     reply = co_await call(root, forwarded, kForwardTimeout);
     if (reply.decided) {
-      disown(server);
+      stopIssuing(server);
       co_return reply;
     }
   }
-  co_return owns(server) ? mint(request) : reply;
+  co_return issuesUnitsFor(server) ? issueUnit(request) : reply;
 }
 
-UnitReply ServerLimitNode::mint(const UnitRequest& request) {
+UnitReply ServerLimitNode::issueUnit(const UnitRequest& request) {
   const fleet::ServerKey server = request.limit.server;
-  UnitReply reply = emptyReply(request);
+  UnitReply reply = undecidedReply(request);
   const MonotonicTime now = monotonicNow();
   if (!context_.mayGrant()) {
-    disown(server);
+    stopIssuing(server);
     return reply;
   }
   reply.decided = true;
-  if (request.givesBack) {
-    minter_.giveBack(server, now);
+  if (request.isReturn) {
+    issuer_.giveBack(server, now);
     return reply;
   }
-  const UnitDecision decision = minter_.take(reply.limit, context_.settledAt(), now);
+  const UnitDecision decision = issuer_.take(reply.limit, context_.settledAt(), now);
   reply.granted = decision.granted;
   reply.waitMs = static_cast<std::uint32_t>(decision.wait.count());
   return reply;
 }
 
-std::vector<Endpoint> ServerLimitNode::rootsBefore(fleet::ServerKey server) const {
-  std::vector<Endpoint> roots = order(server);
+std::vector<Endpoint> ServerLimitNode::precedingRoots(fleet::ServerKey server) const {
+  std::vector<Endpoint> roots = rankedRoots(server);
   roots.erase(std::find(roots.begin(), roots.end(), context_.tree.endpoint), roots.end());
   return roots;
 }
 
-bool ServerLimitNode::owns(fleet::ServerKey server) const {
-  if (treeOf(server) != context_.ownTree) {
+bool ServerLimitNode::issuesUnitsFor(fleet::ServerKey server) const {
+  if (treeFor(server) != context_.ownTree) {
     return false;
   }
   if (context_.tree.isAlone()) {
     return true;
   }
-  const std::vector<Endpoint> before = rootsBefore(server);
+  const std::vector<Endpoint> before = precedingRoots(server);
   const MonotonicTime now = monotonicNow();
   return context_.tree.isRoot() &&
-         std::all_of(before.begin(), before.end(),
-                     [this, now](const Endpoint& root) { return silence_.isGone(root, now); });
+         std::all_of(before.begin(), before.end(), [this, now](const Endpoint& root) {
+           return rootSilence_.isPresumedDead(root, now);
+         });
 }
 
-void ServerLimitNode::disown(fleet::ServerKey server) {
-  minter_.forget(server);
+void ServerLimitNode::stopIssuing(fleet::ServerKey server) {
+  issuer_.forget(server);
   probedAt_.erase(server);
 }
 
-void ServerLimitNode::forgetGone(MonotonicTime now) {
-  if (now - forgotAt_ < kForgetInterval) {
+void ServerLimitNode::removeUnlisted(MonotonicTime now) {
+  if (now - lastExpiryAt_ < kExpiryInterval) {
     return;
   }
-  // While the list can't be kept up, servers that live may be missing there.
-  const bool listWasNew =
-      std::exchange(listIsNew_, now - context_.listProvenAt() < kForgetInterval);
-  const auto sinceLast = std::chrono::floor<Milliseconds>(now - forgotAt_);
-  forgotAt_ = now;
-  context_.pool.forgetNotices(listWasNew && listIsNew_ ? sinceLast : Milliseconds(0), now);
-  table_.forgetGone([this](fleet::ServerKey server) { return serverOf(server).has_value(); });
+  // While the list cannot be kept up to date, live servers may be missing from it.
+  const bool listWasFresh =
+      std::exchange(listIsFresh_, now - context_.listFreshAt() < kExpiryInterval);
+  const auto sinceLast = std::chrono::floor<Milliseconds>(now - lastExpiryAt_);
+  lastExpiryAt_ = now;
+  context_.pool.forgetNotices(listWasFresh && listIsFresh_ ? sinceLast : Milliseconds(0), now);
+  table_.removeUnlisted([this](fleet::ServerKey server) { return serverOf(server).has_value(); });
   std::erase_if(unreadable_,
                 [this](fleet::ServerKey server) { return !serverOf(server).has_value(); });
 }
 
-void ServerLimitNode::lookAfterOwned() {
+void ServerLimitNode::maintainIssuedServers() {
   const MonotonicTime now = monotonicNow();
   if (!any()) {
     probedAt_.clear();
-    minter_.forgetAll();
+    issuer_.forgetAll();
     refusedUntil_.clear();
     return;
   }
-  // Also keeps the proof of this node's place, so that the next unit need not wait for it.
+  // Also renews the proof of this node's role, so that the next unit need not wait for it.
   const bool mayGrant = context_.mayGrant();
-  for (const LimitFact& fact : table_.limited()) {
-    const fleet::ServerKey server = fact.server;
-    if (!owns(server) || !mayGrant) {
-      disown(server);
+  for (const LimitRecord& record : table_.limited()) {
+    const fleet::ServerKey server = record.server;
+    if (!issuesUnitsFor(server) || !mayGrant) {
+      stopIssuing(server);
       continue;
     }
     const std::optional<fleet::Server> listed = serverOf(server);
-    if (listed && isQuiet(fact, now) && probing_.insert(server).second) {
+    if (listed && needsProbe(record, now) && probing_.insert(server).second) {
       probedAt_[server] = now;
       asio::co_spawn(context_.executor, probe(*listed), asio::detached);
     }
   }
 }
 
-bool ServerLimitNode::isQuiet(const LimitFact& limit, MonotonicTime now) {
+bool ServerLimitNode::needsProbe(const LimitRecord& limit, MonotonicTime now) {
   const MonotonicTime probedAt = probedAt_.try_emplace(limit.server, now).first->second;
   const MonotonicTime given =
-      std::max(probedAt, minter_.lastGiven(limit.server).value_or(probedAt));
-  if (now - given >= kLongestQuiet) {
+      std::max(probedAt, issuer_.lastGranted(limit.server).value_or(probedAt));
+  if (now - given >= kMaxProbeDelay) {
     return true;
   }
-  // While requests ask for its units, the next one gets its answer.
-  const MonotonicTime asked = std::max(given, minter_.lastAsked(limit.server).value_or(given));
-  if (now - asked < kQuiet) {
+  // While requests ask for units, leave the next unit to them: the answer will tell the limit.
+  const MonotonicTime asked = std::max(given, issuer_.lastRequested(limit.server).value_or(given));
+  if (now - asked < kProbeAfter) {
     return false;
   }
   UnitRequest request;
   request.limit = limit;
-  return mint(request).granted;
+  return issueUnit(request).granted;
 }
 
 awaitable<void> ServerLimitNode::probe(fleet::Server server) {
@@ -388,7 +390,7 @@
   return list;
 }
 
-boost::json::array ServerLimitNode::restingList() const {
+boost::json::array ServerLimitNode::backoffList() const {
   boost::json::array list;
   const MonotonicTime now = monotonicNow();
   for (const auto& [id, end] : context_.pool.rests().excluded(now)) {
@@ -403,16 +405,17 @@
 
 awaitable<void> ServerLimitNode::answerOperator(http::ResponseWriter& writer) const {
   boost::json::array list;
-  for (const LimitFact& fact : table_.limited()) {
-    const std::optional<fleet::Server> server = serverOf(fact.server);
-    list.push_back(boost::json::object{{"server", server ? server->id.value() : ""},
-                                       {"service", server ? server->service : ""},
-                                       {"per_second", fact.perSecond},
-                                       {"version", fact.version.value()},
-                                       {"units_given_here", minter_.owns(fact.server)}});
+  for (const LimitRecord& record : table_.limited()) {
+    const std::optional<fleet::Server> server = serverOf(record.server);
+    list.push_back(
+        boost::json::object{{"server", server ? server->id.value() : ""},
+                            {"service", server ? server->service : ""},
+                            {"per_second", record.perSecond},
+                            {"version", record.version.value()},
+                            {"units_given_here", issuer_.issuesUnitsFor(record.server)}});
   }
   const boost::json::object document{
-      {"servers", list}, {"leaving", leavingList()}, {"resting", restingList()}};
+      {"servers", list}, {"leaving", leavingList()}, {"resting", backoffList()}};
   const std::string text = boost::json::serialize(document);
   co_await http::respond(writer, http::jsonResponse(http::kStatusOk, text));
 }
--- a/src/server_limits/server_limit_node.h
+++ b/src/server_limits/server_limit_node.h
@@ -20,150 +20,157 @@
 #include "server_limits/metrics.h"
 #include "server_limits/notice_exchange.h"
 #include "server_limits/root_silence.h"
-#include "server_limits/unit_minter.h"
+#include "server_limits/unit_issuer.h"
 
 namespace calicodrift::server_limits {
 
-/// What the head of a server's answer named: nothing, or a rate; an error where it can't be read.
+/// Limit named in the head of a server's answer: none, or a rate; an error if it cannot be parsed.
 using NamedLimit = Result<std::optional<double>>;
 
-/// What the module needs of the node. All of it outlives it, on one thread.
+/// Dependencies of the module. All of them outlive it, and everything runs on one thread.
 struct ServerLimitContext {
   boost::asio::any_io_executor executor;
   http::Client& client;
   relay::TreePlace tree;
-  /// The roots that give out units, this node too where it is one.
-  std::function<std::vector<Endpoint>()> granters;
-  /// Whether this node may do what only one root may do; when former roots have stopped doing so.
+  /// Roots that issue units, including this node if it is one.
+  std::function<std::vector<Endpoint>()> grantingRoots;
+  /// Whether this node may act where only one root may; and when former roots have stopped doing
+  /// so.
   std::function<bool()> mayGrant;
   std::function<MonotonicTime()> settledAt;
   fleet::ServerPool& pool;
-  /// Until when the list of servers is known to have been the newest.
-  std::function<MonotonicTime()> listProvenAt;
-  /// Asks the server for its health; the head of its answer comes by noteHead().
+  /// Latest time at which the list of servers is known to have been current.
+  std::function<MonotonicTime()> listFreshAt;
+  /// Probes the server's health; the head of its answer is passed to noteHead().
   std::function<boost::asio::awaitable<void>(fleet::Server)> probe;
-  /// Names of all trees of the fleet, this node's own, and the roots of another one. A single name
-  /// where there is one tree.
+  /// Names of all relay trees of the fleet, the name of this node's own tree, and a function that
+  /// returns the roots of another tree. A single name if there is one tree.
   std::vector<std::string> trees;
   std::string ownTree;
   std::function<boost::asio::awaitable<std::vector<Endpoint>>(std::string tree)> rootsOfTree =
       nullptr;
 };
 
-/// Leave to send one request to a server.
+/// Permission to send one request to a server.
 struct UnitVerdict {
   bool granted = true;
-  /// Whether a unit was taken for it: the server has a limit.
+  /// Whether a unit was taken, which means that the server has a limit.
   bool tookUnit = false;
-  /// Where it is refused: until a unit may come.
+  /// If refused: time until a unit may be available.
   Milliseconds wait{0};
 };
 
-/// Keeps the limits that servers name together with the other nodes.
+/// Enforces, together with the other nodes, the limits that servers name.
 ///
-/// What the head of an answer says goes to all nodes at once, along the relay tree. Each request to
-/// a server with a limit takes a unit right before it is sent; one root gives them all out, the
-/// first of the roots in an order that the server's key gives, so that the load is spread over them
-/// and no list of nodes is needed. Where the fleet has several trees, the key chooses one first.
+/// The limit in the head of an answer is sent to all nodes at once, along the relay tree. Each
+/// request to a limited server takes a unit right before it is sent. One root issues all units of a
+/// server: the first of the roots as ranked by the server's key, which spreads the load over the
+/// roots and needs no list of nodes. If the fleet has several trees, the key selects the tree
+/// first.
 ///
-/// Who is that root is told by the list of roots. While it is being replaced nobody gives units
-/// out; where it is silent and stays listed, as the store is away too, the next one does after
-/// RootSilence::kTakeover.
+/// The list of roots determines that root. While it is being replaced, nobody issues units. If it
+/// is silent but stays listed, as the store is unavailable too, the next root takes over after
+/// RootSilence::kTakeoverDelay.
 class ServerLimitNode {
  public:
   ServerLimitNode(ServerLimitContext context, ServerLimitMetrics& metrics);
 
   void start();
-  /// Whether any server has a limit: else no request needs a look.
+  /// Whether any server has a limit; if not, requests need no look-up.
   bool any() const { return table_.countLimited() > 0; }
-  /// What is known of the server, to be told with what its answer says.
-  /// Costs nothing while no server has a limit, as every naming is news then.
+  /// Known version of the server's limit, to be passed to noteHead() with the answer. Free while no
+  /// server has a limit, as any named limit is new then.
   LimitVersion versionOf(const fleet::Server& server) const {
     return any() ? table_.versionOf(fleet::keyOf(server)) : LimitVersion();
   }
   bool isLimited(const fleet::Server& server) const {
     return table_.limitOf(fleet::keyOf(server)).has_value();
   }
-  /// Takes a unit for a request that is sent at once. Grants where the server has no limit.
+  /// Takes a unit for a request that is sent immediately afterwards. Always grants if the server
+  /// has no limit.
   boost::asio::awaitable<UnitVerdict> take(fleet::Server server);
-  /// The request has not reached the server after all.
+  /// Returns the unit of a request that did not reach the server.
   void giveBack(const fleet::Server& server);
-  /// What the head of an answer said.
+  /// Records the head of an answer.
   /// @param seen versionOf() when the request was sent.
   void noteHead(const fleet::Server& server, LimitVersion seen, const NamedLimit& named);
-  /// A server has told this node that it leaves, and the pool knows: tells all other nodes.
+  /// Informs all other nodes of a server that announced to this node that it is leaving; the pool
+  /// already knows.
   void tellLeaving() { notices_.tellLeaving(); }
-  /// Answers other nodes at kReportPath and kUnitPath.
+  /// Serves other nodes at kReportPath and kUnitPath.
   boost::asio::awaitable<void> handle(http::Request& request, http::ResponseWriter& writer);
-  /// Answers operators with the limits in force, and the servers that leave or rest.
+  /// Serves operators the limits in force, and the servers that are leaving or in backoff.
   boost::asio::awaitable<void> answerOperator(http::ResponseWriter& writer) const;
-  /// Whether the node knows what the others know, or they can't be asked now.
+  /// Whether this node has the state of the other nodes, or has stopped waiting for it.
   bool synchronized() const;
   void showMetrics() { metrics_.setLimited(table_.countLimited()); }
 
-  /// For a root's answer about a unit: many times the way between two zones and back.
+  /// For a root's answer to a unit request: many times the RTT between two zones.
   static constexpr Milliseconds kUnitTimeout{120};
-  /// The same where the unit may come from another tree: some ways there and back between regions.
-  static constexpr Milliseconds kFarUnitTimeout{600};
-  /// A server that got no request for so long is asked for its health, as it says nothing else.
-  static constexpr Milliseconds kQuiet{1000};
-  /// The same where its limit has no unit for that.
-  static constexpr Milliseconds kLongestQuiet{4000};
-  /// A node that starts serves without the others' limits after so long.
-  static constexpr Milliseconds kLongestStart{2000};
+  /// The same if the unit may come from another tree: several RTTs between regions.
+  static constexpr Milliseconds kCrossTreeUnitTimeout{600};
+  /// A server that got no request for this long is probed, as it announces changes only in its
+  /// answers.
+  static constexpr Milliseconds kProbeAfter{1000};
+  /// The same if the limit has no unit left for the probe.
+  static constexpr Milliseconds kMaxProbeDelay{4000};
+  /// A starting node serves without the limits of the others after this time.
+  static constexpr Milliseconds kMaxStartupTime{2000};
   static constexpr Milliseconds kInterval{250};
-  /// A refusal holds for no longer at this node, so that a limit that is lifted is found soon.
-  static constexpr Milliseconds kLongestRefusal{1000};
+  /// Upper bound of how long this node remembers a refusal, so that a lifted limit is noticed soon.
+  static constexpr Milliseconds kMaxRefusalTime{1000};
 
  private:
   boost::asio::awaitable<void> run();
   NoticeExchangeContext exchangeContext();
   std::optional<fleet::Server> serverOf(fleet::ServerKey run) const;
-  void onLimitLearnt(const LimitFact& fact);
-  /// Forgets what is known of runs that have gone.
-  void forgetGone(MonotonicTime now);
-  /// Roots of this tree in the order in which they give out the server's units.
-  std::vector<Endpoint> order(fleet::ServerKey server) const;
-  const std::string& treeOf(fleet::ServerKey server) const;
+  void onLimitLearnt(const LimitRecord& record);
+  /// Removes the state of runs that are gone.
+  void removeUnlisted(MonotonicTime now);
+  /// Roots of this tree in order of precedence for issuing the server's units.
+  std::vector<Endpoint> rankedRoots(fleet::ServerKey server) const;
+  const std::string& treeFor(fleet::ServerKey server) const;
   boost::asio::awaitable<UnitReply> ask(UnitRequest request);
   boost::asio::awaitable<UnitReply> call(Endpoint root, UnitRequest request, Milliseconds timeout);
-  boost::asio::awaitable<UnitReply> callTree(std::string tree, UnitRequest request);
-  /// As a root that was asked.
+  boost::asio::awaitable<UnitReply> forwardToTree(std::string tree, UnitRequest request);
+  /// Handles a unit request as a root.
   boost::asio::awaitable<UnitReply> decide(UnitRequest request);
-  /// As the root that gives out the server's units.
-  UnitReply mint(const UnitRequest& request);
-  UnitReply emptyReply(const UnitRequest& request) const;
-  /// Roots that give out the server's units before this one does.
-  std::vector<Endpoint> rootsBefore(fleet::ServerKey server) const;
-  /// Whether this node gives out the server's units.
-  bool owns(fleet::ServerKey server) const;
-  void disown(fleet::ServerKey server);
-  /// Ends what this node gives out no more, and asks servers that got no request for a while.
-  void lookAfterOwned();
-  /// Whether the server got no request for a while and may get one now; takes its unit if so.
-  bool isQuiet(const LimitFact& limit, MonotonicTime now);
+  /// Handles a unit request as the root that issues the server's units.
+  UnitReply issueUnit(const UnitRequest& request);
+  UnitReply undecidedReply(const UnitRequest& request) const;
+  /// Roots that take precedence over this node in issuing the server's units.
+  std::vector<Endpoint> precedingRoots(fleet::ServerKey server) const;
+  /// Whether this node issues the server's units.
+  bool issuesUnitsFor(fleet::ServerKey server) const;
+  void stopIssuing(fleet::ServerKey server);
+  /// Drops servers whose units this node no longer issues, and probes those that got no request for
+  /// a while.
+  void maintainIssuedServers();
+  /// Whether the server got no request for a while and may get a probe now; takes the unit for it
+  /// if so.
+  bool needsProbe(const LimitRecord& limit, MonotonicTime now);
   boost::asio::awaitable<void> probe(fleet::Server server);
-  /// Listed servers that leave, and those at rest for this node, for operators.
+  /// Listed servers that are leaving, and servers in backoff at this node, for operators.
   boost::json::array leavingList() const;
-  boost::json::array restingList() const;
+  boost::json::array backoffList() const;
   Milliseconds unitTimeout() const;
 
   ServerLimitContext context_;
   ServerLimitMetrics& metrics_;
   LimitTable table_;
-  UnitMinter minter_;
+  UnitIssuer issuer_;
   NoticeExchange notices_;
-  /// When this node asked a server itself, or began to give out its units.
+  /// When this node last probed the server, or started to issue its units.
   std::unordered_map<fleet::ServerKey, MonotonicTime> probedAt_;
-  /// No unit comes before that, as the root said.
+  /// Time before which no unit is available, as told by the issuing root.
   std::unordered_map<fleet::ServerKey, MonotonicTime> refusedUntil_;
-  RootSilence silence_;
+  RootSilence rootSilence_;
   std::unordered_set<fleet::ServerKey> probing_;
-  /// Whose unreadable limit was logged.
+  /// Servers whose unreadable limit has been logged.
   std::unordered_set<fleet::ServerKey> unreadable_;
   MonotonicTime startedAt_ = monotonicNow();
-  MonotonicTime forgotAt_ = monotonicNow();
-  bool listIsNew_ = false;
+  MonotonicTime lastExpiryAt_ = monotonicNow();
+  bool listIsFresh_ = false;
 };
 
 }  // namespace calicodrift::server_limits
--- a/tests/server_limits/drawn_schedules_test.cc
+++ b/tests/server_limits/drawn_schedules_test.cc
@@ -1,5 +1,5 @@
-// The units of one server over drawn schedules: roots that are killed, stand still, lose the store
-// and are replaced, while all nodes ask for units far above the limit.
+// Units of one server over randomized fault schedules: roots are killed, frozen, lose the store and
+// are replaced, while all nodes request units far above the limit.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -10,27 +10,29 @@
 
 #include "relay/simulated_tree.h"
 #include "server_limits/root_order.h"
-#include "server_limits/unit_minter.h"
+#include "server_limits/unit_issuer.h"
 #include "support/arrival_windows.h"
 
 namespace calicodrift::server_limits {
 namespace {
 
 constexpr Milliseconds kStep{20};
-constexpr Milliseconds kCourse{20'000};
+constexpr Milliseconds kDuration{20'000};
 const fleet::ServerKey kServer(77);
 
-/// By hand 10,000 (SCHEDULES=10000); fewer where it runs with all other tests.
+/// Number of schedules: 10,000 for manual runs (SCHEDULES=10000), fewer when run with all other
+/// tests.
 std::uint64_t schedules() {
-  constexpr std::uint64_t kFew = 500;
+  constexpr std::uint64_t kDefault = 500;
   const char* wanted = std::getenv("SCHEDULES");
-  return wanted == nullptr ? kFew : std::stoull(wanted);
+  return wanted == nullptr ? kDefault : std::stoull(wanted);
 }
 
-/// Asks for units as nodes do: the first of the roots that they know of, then the next one.
-class AskingFleet {
+/// Requests units as nodes do: from the first of the roots that they know of, then from the next
+/// one.
+class RequestingFleet {
  public:
-  AskingFleet(std::size_t nodes, std::uint64_t seed, double perSecond)
+  RequestingFleet(std::size_t nodes, std::uint64_t seed, double perSecond)
       : tree_(nodes, 3, seed, settings()),
         random_(seed),
         limit_{kServer, LimitVersion(1), true, perSecond} {
@@ -41,19 +43,19 @@
 
   relay::SimulatedTree& tree() { return tree_; }
   std::mt19937_64& random() { return random_; }
-  const std::vector<MonotonicTime>& given() const { return given_; }
+  const std::vector<MonotonicTime>& grants() const { return grants_; }
 
   void run(Milliseconds duration) {
-    // Each step some nodes have a request for the server.
-    constexpr std::size_t kAsking = 2;
+    // Nodes that have a request for the server in each step.
+    constexpr std::size_t kRequestsPerStep = 2;
     for (Milliseconds passed{0}; passed < duration; passed += kStep) {
       tree_.run(kStep);
-      for (std::size_t count = 0; count < kAsking; ++count) {
+      for (std::size_t count = 0; count < kRequestsPerStep; ++count) {
         ask(random_() % tree_.size());
       }
     }
   }
-  std::size_t worstWindow() const { return testing::mostInAnyWindow(given_); }
+  std::size_t worstWindow() const { return testing::mostInAnyWindow(grants_); }
 
  private:
   static relay::RelaySettings settings() {
@@ -62,50 +64,50 @@
     return settings;
   }
 
-  std::vector<Endpoint> rootsAsKnownBy(std::size_t number) {
+  std::vector<Endpoint> knownRoots(std::size_t number) {
     std::vector<Endpoint> roots;
     for (const relay::Relay& root : tree_.coreOf(number)->newestRoots()) {
       roots.push_back(root.endpoint);
     }
-    return inOrderFor(kServer, std::move(roots));
+    return rankRoots(kServer, std::move(roots));
   }
 
   void ask(std::size_t number) {
     if (tree_.coreOf(number) == nullptr) {
       return;
     }
-    for (const Endpoint& root : rootsAsKnownBy(number)) {
+    for (const Endpoint& root : knownRoots(number)) {
       const std::size_t asked = relay::SimulatedTree::numberOf(root);
-      const bool decides = tree_.coreOf(asked) != nullptr && tree_.mayGrant(asked);
-      if (!decides || rootsAsKnownBy(asked).front() != root) {
-        minters_[asked].minter.forget(kServer);
+      const bool canGrant = tree_.coreOf(asked) != nullptr && tree_.mayGrant(asked);
+      if (!canGrant || knownRoots(asked).front() != root) {
+        issuers_[asked].issuer.forget(kServer);
         continue;
       }
-      Minter& minter = minters_[asked];
-      if (minter.incarnation != tree_.incarnationOf(asked)) {
-        minter = {tree_.incarnationOf(asked), UnitMinter()};
+      Issuer& issuer = issuers_[asked];
+      if (issuer.incarnation != tree_.incarnationOf(asked)) {
+        issuer = {tree_.incarnationOf(asked), UnitIssuer()};
       }
       const MonotonicTime now = tree_.now();
-      if (minter.minter.take(limit_, tree_.coreOf(asked)->settledAt(), now).granted) {
-        given_.push_back(now);
+      if (issuer.issuer.take(limit_, tree_.coreOf(asked)->settledAt(), now).granted) {
+        grants_.push_back(now);
       }
       return;
     }
   }
 
-  struct Minter {
+  struct Issuer {
     std::uint64_t incarnation = 0;
-    UnitMinter minter;
+    UnitIssuer issuer;
   };
 
   relay::SimulatedTree tree_;
   std::mt19937_64 random_;
-  LimitFact limit_;
-  std::map<std::size_t, Minter> minters_;
-  std::vector<MonotonicTime> given_;
+  LimitRecord limit_;
+  std::map<std::size_t, Issuer> issuers_;
+  std::vector<MonotonicTime> grants_;
 };
 
-void strike(AskingFleet& fleet) {
+void injectFault(RequestingFleet& fleet) {
   relay::SimulatedTree& tree = fleet.tree();
   const auto any = [&fleet](std::int64_t from, std::int64_t to) {
     return std::uniform_int_distribution<std::int64_t>(from, to)(fleet.random());
@@ -140,35 +142,35 @@
 
 BOOST_AUTO_TEST_SUITE(drawn_schedules)
 
-BOOST_AUTO_TEST_CASE(calmFleetsUseTheLimitAndKeepIt) {
+BOOST_AUTO_TEST_CASE(faultFreeFleetsUseAndEnforceTheLimit) {
   for (const std::size_t nodes : {7UL, 79UL, 300UL}) {
     for (const double limit : {0.25, 1.0, 5.0, 20.0}) {
-      AskingFleet fleet(nodes, nodes, limit);
-      fleet.run(kCourse);
+      RequestingFleet fleet(nodes, nodes, limit);
+      fleet.run(kDuration);
       BOOST_TEST(static_cast<double>(fleet.worstWindow()) <= testing::kAimedArrivals.at(limit));
       constexpr double kLeastUse = 0.9;
-      const double due = limit * toMilliseconds(kCourse) / 1000;
-      BOOST_TEST(static_cast<double>(fleet.given().size()) + 1 >= kLeastUse * due,
-                 nodes << " nodes, limit " << limit << ": " << fleet.given().size());
+      const double expected = limit * toMilliseconds(kDuration) / 1000;
+      BOOST_TEST(static_cast<double>(fleet.grants().size()) + 1 >= kLeastUse * expected,
+                 nodes << " nodes, limit " << limit << ": " << fleet.grants().size());
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(noWindowPassesTheLimitWhateverFails) {
+BOOST_AUTO_TEST_CASE(noWindowExceedsTheLimitUnderFaults) {
   double worstShare = 0;
   double used = 0;
   const std::vector<double> limits{0.25, 1, 3, 20};
   for (std::uint64_t seed = 1; seed <= schedules(); ++seed) {
     const double limit = limits[seed % limits.size()];
     const std::size_t nodes = seed % 50 == 0 ? 300 : 7 + seed % 3 * 10;
-    AskingFleet fleet(nodes, seed, limit);
+    RequestingFleet fleet(nodes, seed, limit);
     const MonotonicTime begin = fleet.tree().now();
-    while (fleet.tree().now() - begin < kCourse) {
-      strike(fleet);
+    while (fleet.tree().now() - begin < kDuration) {
+      injectFault(fleet);
       fleet.run(Milliseconds(200 + static_cast<std::int64_t>(fleet.random()() % 3000)));
     }
     const double seconds = toMilliseconds(fleet.tree().now() - begin) / 1000;
-    used += static_cast<double>(fleet.given().size()) / (limit * seconds);
+    used += static_cast<double>(fleet.grants().size()) / (limit * seconds);
     const double share =
         static_cast<double>(fleet.worstWindow()) / testing::kAimedArrivals.at(limit);
     worstShare = std::max(worstShare, share);
--- a/tests/server_limits/messages_test.cc
+++ b/tests/server_limits/messages_test.cc
@@ -7,29 +7,29 @@
 namespace calicodrift::server_limits {
 namespace {
 
-const LimitFact kFact{fleet::ServerKey(7), LimitVersion(3), true, 0.25};
+const LimitRecord kRecord{fleet::ServerKey(7), LimitVersion(3), true, 0.25};
 
 BOOST_AUTO_TEST_SUITE(server_limit_messages)
 
-BOOST_AUTO_TEST_CASE(whatALaterFormAppendsIsPassedOver) {
+BOOST_AUTO_TEST_CASE(fieldsAppendedByLaterFormatsAreIgnored) {
   LimitReport report;
   report.sender = "10.0.0.1:7340";
-  report.facts = {kFact};
+  report.records = {kRecord};
   const Result<LimitReport> read = peer::decode<LimitReport>(peer::encode(report) + "appended");
   BOOST_REQUIRE(static_cast<bool>(read));
-  BOOST_TEST((read.value().facts == report.facts));
+  BOOST_TEST((read.value().records == report.records));
   UnitRequest asked;
-  asked.limit = kFact;
-  asked.givesBack = true;
+  asked.limit = kRecord;
+  asked.isReturn = true;
   const Result<UnitRequest> unit = peer::decode<UnitRequest>(peer::encode(asked) + "appended");
   BOOST_REQUIRE(static_cast<bool>(unit));
-  BOOST_TEST((unit.value().limit == kFact));
-  BOOST_TEST(unit.value().givesBack);
+  BOOST_TEST((unit.value().limit == kRecord));
+  BOOST_TEST(unit.value().isReturn);
 }
 
-BOOST_AUTO_TEST_CASE(bytesThatAreNoMessageAreRefused) {
+BOOST_AUTO_TEST_CASE(truncatedMessagesAreRejected) {
   LimitReport report;
-  report.facts = {kFact};
+  report.records = {kRecord};
   const std::string whole = peer::encode(report);
   for (std::size_t length = 0; length < whole.size(); ++length) {
     BOOST_TEST(!peer::decode<LimitReport>(std::string_view(whole).substr(0, length)));
--- a/tests/server_limits/notice_exchange_test.cc
+++ b/tests/server_limits/notice_exchange_test.cc
@@ -1,5 +1,5 @@
-// News of servers over a tree of nodes that talk over loopback: how soon all know, and what a node
-// of an earlier build reads.
+// Notices of servers over a relay tree of nodes on loopback: how soon all nodes know them, and
+// compatibility with nodes of an earlier build.
 
 #include "server_limits/notice_exchange.h"
 
@@ -22,7 +22,7 @@
 
 const fleet::ServerKey kRun(77);
 
-/// One node: its place in the tree is set before it starts.
+/// A node; its place in the tree is set before it starts.
 struct TreeNode {
   explicit TreeNode(asio::io_context& context)
       : client(context.get_executor()),
@@ -35,7 +35,7 @@
   awaitable<void> answer(http::Request& request, http::ResponseWriter& writer) {
     co_await peer::answerPeer<LimitReport, LimitReport>(
         request, writer,
-        [this](LimitReport report) { return exchange->takeReport(std::move(report)); });
+        [this](LimitReport report) { return exchange->handleReport(std::move(report)); });
   }
   void start(asio::io_context& context) {
     relay::TreePlace tree{endpoint,
@@ -51,7 +51,7 @@
                                                                       {"t"},
                                                                       "t",
                                                                       nullptr,
-                                                                      [](const LimitFact&) {}},
+                                                                      [](const LimitRecord&) {}},
                                                 limits, metrics);
   }
   bool knows() const { return pool.leaving().contains(kRun); }
@@ -61,7 +61,7 @@
   Endpoint endpoint;
   std::optional<Endpoint> parent;
   std::vector<Endpoint> children;
-  /// The other roots, where it is one.
+  /// Other roots, if this node is one.
   std::vector<Endpoint> roots;
   fleet::ServerPool pool{40, [](const fleet::Server&, fleet::ServerLoss) {}};
   prometheus::Registry registry;
@@ -70,7 +70,7 @@
   std::unique_ptr<NoticeExchange> exchange;
 };
 
-/// Two roots, and each other node below the first with room for it.
+/// Two roots, and each other node below the first one with room for it.
 class NodeTree {
  public:
   NodeTree(std::size_t count, std::size_t fanOut) {
@@ -81,16 +81,17 @@
     nodes[0]->roots = {nodes[1]->endpoint};
     nodes[1]->roots = {nodes[0]->endpoint};
     for (std::size_t number = 2; number < count; ++number) {
-      TreeNode& above = *nodes[(number - 2) / fanOut];
-      nodes[number]->parent = above.endpoint;
-      above.children.push_back(nodes[number]->endpoint);
+      TreeNode& parentNode = *nodes[(number - 2) / fanOut];
+      nodes[number]->parent = parentNode.endpoint;
+      parentNode.children.push_back(nodes[number]->endpoint);
     }
     for (const auto& node : nodes) {
       node->start(context);
     }
   }
 
-  /// The node hears it from the server. Gives how long it takes until all know.
+  /// Lets node `first` receive the notice from the server. Returns the time until all nodes know
+  /// it.
   Milliseconds timeUntilAllKnow(std::size_t first) {
     const MonotonicTime begin = monotonicNow();
     nodes[first]->pool.noteLeaving(kRun, begin);
@@ -127,8 +128,8 @@
   BOOST_TEST((took <= Milliseconds(1000)));
 }
 
-/// A node that starts asks its parent for everything.
-BOOST_AUTO_TEST_CASE(newNeighbourIsToldEverything) {
+/// A starting node asks its parent for the full state.
+BOOST_AUTO_TEST_CASE(newNeighbourReceivesEverything) {
   NodeTree tree(4, 20);
   tree.nodes[0]->pool.noteLeaving(kRun, monotonicNow());
   asio::co_spawn(tree.context, tree.nodes[2]->exchange->update(), asio::detached);
@@ -137,35 +138,35 @@
   BOOST_TEST(tree.nodes[2]->exchange->settled());
 }
 
-/// What reports held before they told of servers that leave, as such a build reads and writes them.
-struct FirstForm {
+/// Reports as read and written by builds that do not know of leaving servers.
+struct ReportFormat1 {
   std::uint32_t form = 1;
   std::string sender;
   bool fresh = false;
   std::uint32_t waitMs = 0;
-  std::vector<LimitFact> facts;
+  std::vector<LimitRecord> records;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(form, sender, fresh, waitMs, facts);
+    archive(form, sender, fresh, waitMs, records);
   }
 };
 
 BOOST_AUTO_TEST_CASE(formsOfBothBuildsAreReadByBoth) {
   LimitReport report;
   report.sender = "10.0.0.1:7340";
-  report.facts = {{fleet::ServerKey(7), LimitVersion(3), true, 0.25}};
+  report.records = {{fleet::ServerKey(7), LimitVersion(3), true, 0.25}};
   report.leaving = {kRun};
-  const Result<FirstForm> old = peer::decode<FirstForm>(peer::encode(report));
+  const Result<ReportFormat1> old = peer::decode<ReportFormat1>(peer::encode(report));
   BOOST_REQUIRE(static_cast<bool>(old));
   BOOST_TEST(old.value().sender == report.sender);
-  BOOST_TEST((old.value().facts == report.facts));
-  FirstForm sent;
+  BOOST_TEST((old.value().records == report.records));
+  ReportFormat1 sent;
   sent.sender = "10.0.0.2:7340";
-  sent.facts = report.facts;
+  sent.records = report.records;
   const Result<LimitReport> read = peer::decode<LimitReport>(peer::encode(sent));
   BOOST_REQUIRE(static_cast<bool>(read));
-  BOOST_TEST((read.value().facts == sent.facts));
+  BOOST_TEST((read.value().records == sent.records));
   BOOST_TEST(read.value().leaving.empty());
   BOOST_TEST((peer::decode<LimitReport>(peer::encode(report)).value().leaving == report.leaving));
 }
