--- a/src/quarantine/crash_ledger.cc
+++ b/src/quarantine/crash_ledger.cc
@@ -8,13 +8,13 @@
 namespace calicodrift::quarantine {
 namespace {
 
-/// Adds what is missing, up to the most that is remembered. @return whether anything was.
-bool addAll(std::vector<ServerRun>& runs, const std::vector<ServerRun>& more) {
+/// Inserts the missing runs, up to kMaxRunsPerRequest in total. @return whether any was inserted.
+bool insertMissing(std::vector<ServerRun>& runs, const std::vector<ServerRun>& more) {
   bool added = false;
   for (const ServerRun run : more) {
     const auto place = std::lower_bound(runs.begin(), runs.end(), run);
     const bool isKnown = place != runs.end() && *place == run;
-    if (!isKnown && runs.size() < CrashLedger::kMostRuns) {
+    if (!isKnown && runs.size() < CrashLedger::kMaxRunsPerRequest) {
       runs.insert(place, run);
       added = true;
     }
@@ -43,7 +43,7 @@
     return false;
   }
   Entry& entry = found->second;
-  const bool cleared = addAll(entry.suspect.cleared, entry.suspect.ended);
+  const bool cleared = insertMissing(entry.suspect.cleared, entry.suspect.ended);
   if (cleared) {
     entry.changedAt = ++version_;
   }
@@ -54,8 +54,8 @@
   const auto [place, isNew] = entries_.try_emplace(suspect.request);
   Entry& entry = place->second;
   entry.suspect.request = suspect.request;
-  const bool ended = addAll(entry.suspect.ended, suspect.ended);
-  const bool cleared = addAll(entry.suspect.cleared, suspect.cleared);
+  const bool ended = insertMissing(entry.suspect.ended, suspect.ended);
+  const bool cleared = insertMissing(entry.suspect.cleared, suspect.cleared);
   const bool longer = suspect.longestMs > entry.suspect.longestMs;
   entry.suspect.longestMs = std::max(entry.suspect.longestMs, suspect.longestMs);
   if (!ended && !cleared && !longer) {
@@ -65,12 +65,12 @@
     return false;
   }
   entry.changedAt = ++version_;
-  noteRuns(entry.suspect, now);
-  makeRoom(suspect.request);
+  indexRuns(entry.suspect, now);
+  evictOne(suspect.request);
   return true;
 }
 
-void CrashLedger::noteRuns(const Suspect& suspect, MonotonicTime now) {
+void CrashLedger::indexRuns(const Suspect& suspect, MonotonicTime now) {
   for (const ServerRun key : suspect.ended) {
     Run& run = runs_.try_emplace(key, Run{now, {}}).first->second;
     const bool isKnown =
@@ -81,38 +81,38 @@
   }
 }
 
-void CrashLedger::noteIdleEnd(ServerRun run, MonotonicTime now) {
+void CrashLedger::recordIdleCrash(ServerRun run, MonotonicTime now) {
   if (runs_.try_emplace(run, Run{now, {}}).second) {
-    idleEnds_.push_back(run);
-    forgetIdleEnds();
+    idleCrashes_.push_back(run);
+    trimIdleCrashes();
   }
 }
 
-void CrashLedger::forgetIdleEnds() {
-  while (idleEnds_.size() > kMostIdleEnds) {
-    const auto oldest = runs_.find(idleEnds_.front());
-    idleEnds_.pop_front();
+void CrashLedger::trimIdleCrashes() {
+  while (idleCrashes_.size() > kMaxIdleCrashes) {
+    const auto oldest = runs_.find(idleCrashes_.front());
+    idleCrashes_.pop_front();
     if (oldest != runs_.end() && oldest->second.requests.empty()) {
       runs_.erase(oldest);
     }
   }
 }
 
-std::size_t CrashLedger::standingRuns(const Suspect& suspect) {
+std::size_t CrashLedger::incriminatingRuns(const Suspect& suspect) {
   return static_cast<std::size_t>(
       std::count_if(suspect.ended.begin(), suspect.ended.end(),
-                    [&suspect](ServerRun run) { return speaksAgainst(suspect, run); }));
+                    [&suspect](ServerRun run) { return incriminates(suspect, run); }));
 }
 
-bool CrashLedger::speaksAgainst(const Suspect& suspect, ServerRun run) {
+bool CrashLedger::incriminates(const Suspect& suspect, ServerRun run) {
   return std::binary_search(suspect.ended.begin(), suspect.ended.end(), run) &&
          !std::binary_search(suspect.cleared.begin(), suspect.cleared.end(), run);
 }
 
-MonotonicTime CrashLedger::newestEnd(const Suspect& suspect) const {
+MonotonicTime CrashLedger::latestCrash(const Suspect& suspect) const {
   MonotonicTime newest{};
   for (const ServerRun key : suspect.ended) {
-    if (speaksAgainst(suspect, key)) {
+    if (incriminates(suspect, key)) {
       newest = std::max(newest, runs_.at(key).at);
     }
   }
@@ -120,40 +120,42 @@
 }
 
 bool CrashLedger::hasLikelierCause(ServerRun key, const Suspect& suspect) const {
-  const std::size_t runs = standingRuns(suspect);
-  const std::vector<RequestFingerprint>& beside = runs_.at(key).requests;
-  return std::any_of(beside.begin(), beside.end(), [&](const RequestFingerprint& request) {
+  const std::size_t runs = incriminatingRuns(suspect);
+  const std::vector<RequestFingerprint>& coRunning = runs_.at(key).requests;
+  return std::any_of(coRunning.begin(), coRunning.end(), [&](const RequestFingerprint& request) {
     const Suspect& other = entries_.at(request).suspect;
-    const std::size_t otherRuns = standingRuns(other);
-    if (request == suspect.request || !speaksAgainst(other, key) || otherRuns < runs) {
+    const std::size_t otherRuns = incriminatingRuns(other);
+    if (request == suspect.request || !incriminates(other, key) || otherRuns < runs) {
       return false;
     }
-    // One that is barred gets no further runs, so that a bystander of several could draw level.
-    const bool barredBefore = otherRuns >= kMostEnds && newestEnd(other) < newestEnd(suspect);
-    const bool sooner = runs > 1 && other.longestMs < suspect.longestMs;
-    return otherRuns > runs || barredBefore || sooner;
+    // A barred request gets no further runs, so a bystander of several such requests could reach
+    // the same count.
+    const bool barredBefore =
+        otherRuns >= kCrashesToBar && latestCrash(other) < latestCrash(suspect);
+    const bool crashesSooner = runs > 1 && other.longestMs < suspect.longestMs;
+    return otherRuns > runs || barredBefore || crashesSooner;
   });
 }
 
 bool CrashLedger::isExplained(ServerRun key, const Run& run) const {
-  constexpr std::size_t kEnoughRuns = 2;
+  constexpr std::size_t kMinRuns = 2;
   return std::any_of(run.requests.begin(), run.requests.end(), [&](const auto& request) {
     const Suspect& suspect = entries_.at(request).suspect;
-    return speaksAgainst(suspect, key) && standingRuns(suspect) >= kEnoughRuns;
+    return incriminates(suspect, key) && incriminatingRuns(suspect) >= kMinRuns;
   });
 }
 
-bool CrashLedger::othersEndedBeside(const RequestFingerprint& request, const Run& run) const {
+bool CrashLedger::hasConcurrentCrashes(const RequestFingerprint& request, const Run& run) const {
   const Suspect& suspect = entries_.at(request).suspect;
   const auto others = std::count_if(runs_.begin(), runs_.end(), [&](const auto& entry) {
-    const bool sameTime = std::chrono::abs(entry.second.at - run.at) <= kSameTime;
-    return sameTime && !speaksAgainst(suspect, entry.first) &&
+    const bool sameTime = std::chrono::abs(entry.second.at - run.at) <= kConcurrencyWindow;
+    return sameTime && !incriminates(suspect, entry.first) &&
            !isExplained(entry.first, entry.second);
   });
-  return others >= kManyEnds;
+  return others >= kMinConcurrentCrashes;
 }
 
-std::size_t CrashLedger::countOf(const RequestFingerprint& request) const {
+std::size_t CrashLedger::crashCount(const RequestFingerprint& request) const {
   const auto found = entries_.find(request);
   if (found == entries_.end()) {
     return 0;
@@ -161,13 +163,13 @@
   const Suspect& suspect = found->second.suspect;
   return static_cast<std::size_t>(
       std::count_if(suspect.ended.begin(), suspect.ended.end(), [&](ServerRun key) {
-        return speaksAgainst(suspect, key) && !hasLikelierCause(key, suspect) &&
-               !othersEndedBeside(request, runs_.at(key));
+        return incriminates(suspect, key) && !hasLikelierCause(key, suspect) &&
+               !hasConcurrentCrashes(request, runs_.at(key));
       }));
 }
 
-std::size_t CrashLedger::endsToBar(const Suspect& suspect) {
-  return Milliseconds(suspect.longestMs) < kLongRun ? kMostEnds : kMostEnds + 1;
+std::size_t CrashLedger::crashesToBar(const Suspect& suspect) {
+  return Milliseconds(suspect.longestMs) < kLongRequest ? kCrashesToBar : kCrashesToBar + 1;
 }
 
 Standing CrashLedger::standingOf(const RequestFingerprint& request) const {
@@ -176,8 +178,8 @@
     return Standing::kClear;
   }
   const Suspect& suspect = found->second.suspect;
-  const std::size_t count = countOf(request);
-  if (count >= endsToBar(suspect) || standingRuns(suspect) >= kMostEndsAnyway) {
+  const std::size_t count = crashCount(request);
+  if (count >= crashesToBar(suspect) || incriminatingRuns(suspect) >= kCrashesToBarRegardless) {
     return Standing::kBarred;
   }
   return count > 0 ? Standing::kSuspect : Standing::kClear;
@@ -185,7 +187,7 @@
 
 bool CrashLedger::isBarred(const RequestFingerprint& request) const {
   const auto found = entries_.find(request);
-  return found != entries_.end() && standingRuns(found->second.suspect) >= kMostEnds &&
+  return found != entries_.end() && incriminatingRuns(found->second.suspect) >= kCrashesToBar &&
          standingOf(request) == Standing::kBarred;
 }
 
@@ -203,8 +205,8 @@
 std::vector<Suspect> CrashLedger::atLeast(std::size_t count) const {
   std::vector<Suspect> found;
   for (const auto& [request, entry] : entries_) {
-    // Most have one run, which is cheap to see.
-    if (standingRuns(entry.suspect) >= count && countOf(request) >= count) {
+    // Most have one run, so the cheap check comes first.
+    if (incriminatingRuns(entry.suspect) >= count && crashCount(request) >= count) {
       found.push_back(entry.suspect);
     }
   }
@@ -221,29 +223,29 @@
   return changed;
 }
 
-void CrashLedger::makeRoom(const RequestFingerprint& kept) {
-  if (entries_.size() <= mostRequests_) {
+void CrashLedger::evictOne(const RequestFingerprint& kept) {
+  if (entries_.size() <= maxRequests_) {
     return;
   }
   const auto weight = [](const auto& entry) {
-    return std::tuple(standingRuns(entry.second.suspect), entry.second.changedAt);
+    return std::tuple(incriminatingRuns(entry.second.suspect), entry.second.changedAt);
   };
-  auto least = entries_.end();
+  auto lightest = entries_.end();
   for (auto place = entries_.begin(); place != entries_.end(); ++place) {
-    const bool lighter = least == entries_.end() || weight(*place) < weight(*least);
-    if (place->first != kept && lighter) {
-      least = place;
+    const bool isLighter = lightest == entries_.end() || weight(*place) < weight(*lightest);
+    if (place->first != kept && isLighter) {
+      lightest = place;
     }
   }
-  for (const ServerRun key : least->second.suspect.ended) {
+  for (const ServerRun key : lightest->second.suspect.ended) {
     const auto run = runs_.find(key);
-    std::erase(run->second.requests, least->first);
+    std::erase(run->second.requests, lightest->first);
     if (run->second.requests.empty()) {
       runs_.erase(run);
     }
   }
-  entries_.erase(least);
-  ++forgotten_;
+  entries_.erase(lightest);
+  ++evicted_;
 }
 
 }  // namespace calicodrift::quarantine
--- a/src/quarantine/crash_ledger.h
+++ b/src/quarantine/crash_ledger.h
@@ -13,22 +13,22 @@
 
 namespace calicodrift::quarantine {
 
-/// Names one run of one server in few bytes: the hash of its id and start.
+/// Compact identifier of one run of one server: the hash of its id and start.
 using ServerRun = StrongType<struct ServerRunTag, std::uint64_t>;
 ServerRun runOf(const BackendId& server, Incarnation incarnation);
 ServerRun runOf(const fleet::Server& server);
 
-/// A request and the server runs that ended while it was under way there. Two grow-only sets and a
-/// maximum, so that reports can come in any order, twice, and by any way, and all nodes end with
-/// the same.
+/// A request and the server runs that crashed while it was in flight there. Two grow-only sets and
+/// a maximum, so that reports may arrive in any order, repeatedly and by any path, and all nodes
+/// converge to the same state.
 struct Suspect {
   RequestFingerprint request;
   /// Sorted.
   std::vector<ServerRun> ended;
-  /// Those of them that are no evidence any more: the request ran to its end since, or an operator
-  /// lifted the bar. Sorted.
+  /// Those of them that are no longer evidence, because the request has completed since, or an
+  /// operator has lifted the bar. Sorted.
   std::vector<ServerRun> cleared;
-  /// The longest time for which it had been under way at a server when that ended.
+  /// Longest time that the request had been in flight at a server when that server crashed.
   std::uint32_t longestMs = 0;
   bool operator==(const Suspect&) const = default;
 
@@ -40,87 +40,89 @@
 
 /// What a request may do next.
 enum class Standing {
-  /// Nothing speaks against it.
+  /// There is no evidence against it.
   kClear,
-  /// Servers ended under it, fewer than kMostEnds: it may be tried, one attempt at a time in the
-  /// fleet.
+  /// Servers crashed under it, fewer than kCrashesToBar: it may be tried, with one attempt at a
+  /// time in the fleet.
   kSuspect,
-  /// It is sent to no server.
+  /// It is not sent to any server.
   kBarred,
 };
 
-/// Which requests servers have ended under, and which of them are the likely cause. No I/O; calls
-/// are told the time.
+/// Tracks under which requests servers have crashed, and which of these requests are the likely
+/// cause. Does no I/O; callers pass the time.
 ///
-/// All that ran on a server when it ended are suspects alike at first. A run counts against a
-/// request only where
-/// - no other request that stood there has more runs against it, or has been barred since before: a
-///   request that ends its servers is in every one of these sets, a bystander in one or two. Where
-///   two have had the same servers ended under them, the one that ends them sooner is the cause;
-/// - no other server ended at about the same time without a request that explains it: what strikes
-///   several servers at once is no request.
-/// Both are judged anew with each report, so that a bystander is cleared when the cause shows.
+/// Initially all requests in flight on a server when it crashed are equally suspect. A run counts
+/// against a request only if
+/// - no other request in flight there has more runs against it or was barred earlier: a request
+///   that crashes its servers is in every one of these sets, a bystander in one or two. If two
+///   requests have the same crashed servers, the one that crashes them sooner is the cause;
+/// - no other server crashed at about the same time without a request that explains it: a fault
+///   that hits several servers at once is not caused by a request.
+/// Both are re-evaluated with each report, so that a bystander is cleared once the cause is known.
 ///
-/// Invariant: a request is barred after kMostEnds runs that count against it (one more where it had
-/// been under way for long), and after kMostEndsAnyway of any, and stays so until it is cleared: no
-/// time ends it.
+/// Invariant: a request is barred after kCrashesToBar runs that count against it (one more if it
+/// had been in flight for long), or after kCrashesToBarRegardless incriminating runs of any kind,
+/// and stays barred until it is cleared: a bar never expires.
 class CrashLedger {
  public:
-  /// Servers that one request may end. The next one is known then to end as well, and a bystander
-  /// would have had to meet three ends that nothing else explains.
-  static constexpr std::size_t kMostEnds = 3;
-  /// Other servers that end at the same time make a common cause likely.
-  static constexpr int kManyEnds = 1;
-  /// One that was under way for so long when a server ended may meet one end more: the longer it
-  /// runs, the likelier a server ends beside it by another cause. Of 10,000 drawn schedules this
-  /// leaves none in which a bystander is barred, where one was without it.
-  static constexpr Milliseconds kLongRun{1500};
-  /// The same where each end could have another cause: a bystander is sent to fewer servers.
-  static constexpr std::size_t kMostEndsAnyway = 6;
-  /// Ends so close together may have one cause: what nodes need at most to notice and tell one.
-  static constexpr Milliseconds kSameTime{100};
-  /// Requests that are remembered: 0.5 MB at most.
-  static constexpr std::size_t kMostRequests = 2048;
-  /// Runs that are remembered of one request.
-  static constexpr std::size_t kMostRuns = 16;
-
-  /// Servers that were found gone and had nothing under way, that are remembered.
-  static constexpr std::size_t kMostIdleEnds = 256;
-
-  explicit CrashLedger(std::size_t mostRequests = kMostRequests) : mostRequests_(mostRequests) {}
-
-  /// A server run ended while the request was under way there.
-  /// @param underWay for how long.
+  /// Servers that one request may crash. After that it is known that the next one would crash as
+  /// well, and a bystander would have had to meet three crashes that nothing else explains.
+  static constexpr std::size_t kCrashesToBar = 3;
+  /// Number of other servers crashing at the same time that makes a common cause likely.
+  static constexpr int kMinConcurrentCrashes = 1;
+  /// A request that had been in flight for this long when a server crashed may meet one crash more:
+  /// the longer it runs, the likelier a server crashes under it for another reason. Of 10,000
+  /// randomized schedules none bars a bystander with this rule; without it one did.
+  static constexpr Milliseconds kLongRequest{1500};
+  /// The same limit for crashes that may each have another cause: a bystander is sent to fewer
+  /// servers.
+  static constexpr std::size_t kCrashesToBarRegardless = 6;
+  /// Crashes this close together may have one cause: the longest time that nodes need to notice and
+  /// report a crash.
+  static constexpr Milliseconds kConcurrencyWindow{100};
+  /// Requests that are tracked: 0.5 MB at most.
+  static constexpr std::size_t kMaxRequests = 2048;
+  /// Runs that are tracked per request.
+  static constexpr std::size_t kMaxRunsPerRequest = 16;
+
+  /// Tracked servers that were found gone with no request in flight.
+  static constexpr std::size_t kMaxIdleCrashes = 256;
+
+  explicit CrashLedger(std::size_t maxRequests = kMaxRequests) : maxRequests_(maxRequests) {}
+
+  /// Records that a server run crashed while the request was in flight there.
+  /// @param underWay how long the request had been in flight.
   /// @return whether that is new.
   bool noteEnded(const RequestFingerprint& request, ServerRun run, Milliseconds underWay,
                  MonotonicTime now);
-  /// A server was found gone that had nothing of this node's under way: it may have ended together
-  /// with others. Known at this node only.
-  void noteIdleEnd(ServerRun run, MonotonicTime now);
-  /// Nothing that is known so far speaks against the request any more. @return whether any did.
+  /// Records that a server without requests of this node in flight was found gone: it may have
+  /// crashed together with others. Known to this node only.
+  void recordIdleCrash(ServerRun run, MonotonicTime now);
+  /// Discards all evidence against the request known so far. @return whether there was any.
   bool clear(const RequestFingerprint& request);
-  /// Another node's knowledge. @return whether any of it is new.
+  /// Merges another node's state. @return whether any of it is new.
   bool merge(const Suspect& suspect, MonotonicTime now);
 
   bool empty() const { return entries_.empty(); }
   std::size_t size() const { return entries_.size(); }
   bool contains(const RequestFingerprint& request) const { return entries_.contains(request); }
-  /// Runs that count against the request.
-  std::size_t countOf(const RequestFingerprint& request) const;
+  /// Number of runs that count against the request.
+  std::size_t crashCount(const RequestFingerprint& request) const;
   Standing standingOf(const RequestFingerprint& request) const;
-  /// Cheaper than standingOf() for the many that have few runs against them.
+  /// Cheaper than standingOf() for the many requests that have few runs against them.
   bool isBarred(const RequestFingerprint& request) const;
   std::size_t countBarred() const;
-  /// What is known of the request; no runs where nothing is.
+  /// Known state of the request; no runs if there is none.
   Suspect suspect(const RequestFingerprint& request) const;
-  /// Those with so many runs that count against them.
+  /// Requests with at least `count` runs that count against them.
   std::vector<Suspect> atLeast(std::size_t count) const;
-  /// Rises with each change.
+  /// Increases with each change.
   std::uint64_t version() const { return version_; }
-  /// What changed after that version.
+  /// Requests that changed after that version.
   std::vector<Suspect> changedSince(std::uint64_t version) const;
-  /// Requests that were forgotten, as there was no room.
-  std::size_t forgotten() const { return forgotten_; }
+  /// Number of requests that were evicted to bound memory.
+  std::size_t evicted() const { return evicted_; }
 
  private:
   struct Entry {
@@ -128,35 +130,36 @@
     std::uint64_t changedAt = 0;
   };
   struct Run {
-    /// When this node heard of its end.
+    /// When this node learnt of the crash.
     MonotonicTime at{};
     std::vector<RequestFingerprint> requests;
   };
 
-  /// Ends that bar the request.
-  static std::size_t endsToBar(const Suspect& suspect);
-  /// Runs against the request, whatever explains them.
-  static std::size_t standingRuns(const Suspect& suspect);
-  static bool speaksAgainst(const Suspect& suspect, ServerRun run);
-  /// When this node heard of the newest run that speaks against the request.
-  MonotonicTime newestEnd(const Suspect& suspect) const;
-  /// Whether another request is the likelier cause of the run's end than this one.
+  /// Number of counting crashes that bars the request.
+  static std::size_t crashesToBar(const Suspect& suspect);
+  /// Runs against the request, whether or not another cause explains them.
+  static std::size_t incriminatingRuns(const Suspect& suspect);
+  static bool incriminates(const Suspect& suspect, ServerRun run);
+  /// When this node learnt of the latest run that incriminates the request.
+  MonotonicTime latestCrash(const Suspect& suspect) const;
+  /// Whether another request is a likelier cause of the run's crash than this one.
   bool hasLikelierCause(ServerRun key, const Suspect& suspect) const;
-  /// Whether a request that two runs or more speak against explains the run's end.
+  /// Whether a request that at least two runs incriminate explains the run's crash.
   bool isExplained(ServerRun key, const Run& run) const;
-  bool othersEndedBeside(const RequestFingerprint& request, const Run& run) const;
-  void noteRuns(const Suspect& suspect, MonotonicTime now);
-  /// Forgets the oldest of those beyond kMostIdleEnds.
-  void forgetIdleEnds();
-  /// Forgets the one that least speaks against, the oldest of these.
-  void makeRoom(const RequestFingerprint& kept);
-
-  std::size_t mostRequests_;
+  bool hasConcurrentCrashes(const RequestFingerprint& request, const Run& run) const;
+  void indexRuns(const Suspect& suspect, MonotonicTime now);
+  /// Removes the oldest idle crashes beyond kMaxIdleCrashes.
+  void trimIdleCrashes();
+  /// Evicts the request with the fewest incriminating runs, the least recently changed of these;
+  /// never `kept`.
+  void evictOne(const RequestFingerprint& kept);
+
+  std::size_t maxRequests_;
   std::map<RequestFingerprint, Entry> entries_;
   std::map<ServerRun, Run> runs_;
-  std::deque<ServerRun> idleEnds_;
+  std::deque<ServerRun> idleCrashes_;
   std::uint64_t version_ = 0;
-  std::size_t forgotten_ = 0;
+  std::size_t evicted_ = 0;
 };
 
 }  // namespace calicodrift::quarantine
--- a/src/quarantine/fingerprint.cc
+++ b/src/quarantine/fingerprint.cc
@@ -11,9 +11,9 @@
 
 constexpr std::size_t kDigits = 16;
 constexpr std::size_t kParts = 3;
-constexpr int kHexadecimal = 16;
+constexpr int kHexBase = 16;
 
-std::string hexadecimal(std::uint64_t number) {
+std::string toHex(std::uint64_t number) {
   std::array<char, kDigits + 1> text{};
   std::snprintf(text.data(), text.size(), "%016llx", static_cast<unsigned long long>(number));
   return std::string(text.data(), kDigits);
@@ -29,8 +29,7 @@
 }
 
 std::string toString(const RequestFingerprint& fingerprint) {
-  return hexadecimal(fingerprint.tenant) + hexadecimal(fingerprint.high) +
-         hexadecimal(fingerprint.low);
+  return toHex(fingerprint.tenant) + toHex(fingerprint.high) + toHex(fingerprint.low);
 }
 
 std::optional<RequestFingerprint> parseFingerprint(std::string_view text) {
@@ -40,7 +39,7 @@
   std::array<std::uint64_t, kParts> numbers{};
   for (std::size_t part = 0; part < kParts; ++part) {
     const std::string_view digits = text.substr(part * kDigits, kDigits);
-    const auto parsed = std::from_chars(digits.begin(), digits.end(), numbers[part], kHexadecimal);
+    const auto parsed = std::from_chars(digits.begin(), digits.end(), numbers[part], kHexBase);
     if (parsed.ec != std::errc{} || parsed.ptr != digits.end()) {
       return std::nullopt;
     }
--- a/src/quarantine/fingerprint.h
+++ b/src/quarantine/fingerprint.h
@@ -8,11 +8,12 @@
 
 #include "common/ids.h"
 
-/// Requests that end the servers that run them ("queries of death"): which requests are suspected
-/// of it, and which are kept from servers on all nodes.
+/// Requests that crash the servers that run them ("queries of death"): which requests are suspected
+/// of it, and which are kept from the servers by all nodes.
 namespace calicodrift::quarantine {
 
-/// What makes two attempts the same work. Headers are left out: callers vary them without meaning.
+/// What identifies two attempts as the same work. Headers are left out, since callers vary them
+/// without changing the work.
 struct RequestIdentity {
   /// Empty for public routes.
   TenantId tenant;
@@ -23,10 +24,11 @@
   std::string_view body;
 };
 
-/// Names a request over all its attempts at any node, without telling its content.
+/// Identifies a request across all its attempts at any node, without revealing its content.
 ///
-/// The tenant's hash stands beside the digest and is its seed: the digest is not safe against
-/// collisions that are made on purpose, and so a tenant can make them for requests of its own only.
+/// The tenant's hash is stored beside the digest and seeds it: the digest is not
+/// collision-resistant against an adversary, so a tenant can only produce collisions with its own
+/// requests.
 struct RequestFingerprint {
   std::uint64_t tenant = 0;
   std::uint64_t high = 0;
@@ -44,7 +46,7 @@
 
 /// 48 hexadecimal digits, for logs, operators and the store.
 std::string toString(const RequestFingerprint& fingerprint);
-/// Nothing where the text is no fingerprint.
+/// Empty if the text is not a fingerprint.
 std::optional<RequestFingerprint> parseFingerprint(std::string_view text);
 
 }  // namespace calicodrift::quarantine
--- a/src/quarantine/messages.h
+++ b/src/quarantine/messages.h
@@ -9,27 +9,28 @@
 
 #include "quarantine/crash_ledger.h"
 
-/// What nodes tell each other of suspects. Paths of their own: a node of a build without them
-/// answers 404, and no other message changes its form.
+/// Messages between nodes about suspects. They use separate paths: a node of a build without this
+/// module answers 404, and no other message changes its format.
 namespace calicodrift::quarantine {
 
 inline constexpr std::string_view kReportPath = "/quarantine/report";
 inline constexpr std::string_view kTrialPath = "/quarantine/trial";
 
-/// Form of both messages. Later forms append fields only: a reader passes over what it doesn't
-/// know.
+/// Format version of the messages. Later versions only append fields; readers ignore fields that
+/// they do not know.
 inline constexpr std::uint32_t kForm = 1;
 
-/// Told to the neighbours in the relay tree when something is new, and the answer to it.
+/// Sent to the neighbours in the relay tree when there is news, and returned as the answer.
 struct SuspectReport {
   std::uint32_t form = kForm;
-  /// The sender's own address between nodes.
+  /// Address of the sender between nodes.
   std::string sender;
-  /// The sender knows nothing yet: the answer tells all.
+  /// The sender has no state yet: the answer contains all suspects.
   bool fresh = false;
-  /// In an answer: the answering node has read what the store keeps, or got it from its parent.
+  /// In an answer: the answering node has read the stored records, or received them from its
+  /// parent.
   bool settled = false;
-  /// How long the sender waits until the receiver has told its own neighbours.
+  /// How long the sender waits until the receiver has forwarded the report to its own neighbours.
   std::uint32_t waitMs = 0;
   std::vector<Suspect> suspects;
 
@@ -39,13 +40,14 @@
   }
 };
 
-/// Asks the root that admits attempts of suspects, or tells it that one has ended.
+/// Asks the root that admits attempts of suspects for admission, or tells it that an attempt has
+/// ended.
 struct TrialRequest {
   std::uint32_t form = kForm;
   bool ends = false;
   std::uint64_t token = 0;
   std::uint32_t termMs = 0;
-  /// What the asking node knows of the request.
+  /// State of the request at the asking node.
   Suspect suspect;
   /// Servers that the attempt may go to, the best first.
   std::vector<ServerRun> choices;
@@ -59,11 +61,11 @@
 struct TrialReply {
   std::uint32_t form = kForm;
   bool granted = false;
-  /// Of the choices.
+  /// One of the choices.
   ServerRun server;
-  /// Where it is not granted: until the attempt under way has ended at the latest.
+  /// If not granted: time until the current attempt has ended at the latest.
   std::uint32_t waitMs = 0;
-  /// What the answering node knows of the request.
+  /// State of the request at the answering node.
   Suspect suspect;
 
   template <typename Archive>
--- a/src/quarantine/metrics.cc
+++ b/src/quarantine/metrics.cc
@@ -17,8 +17,9 @@
 }  // namespace
 
 QuarantineMetrics::QuarantineMetrics(prometheus::Registry& registry)
-    : ends_(counter(registry, "calicodrift_quarantine_ends_total",
-                    "Servers' processes that ended under a request of this node, one a request")),
+    : crashes_(
+          counter(registry, "calicodrift_quarantine_ends_total",
+                  "Servers' processes that ended under a request of this node, one a request")),
       barredRefusals_(
           counter(registry, "calicodrift_quarantine_refusals_total",
                   "Requests refused here, as barred or as another attempt was under way",
@@ -36,16 +37,16 @@
                       "Writes of records to the store", {{"written", "true"}})),
       failedWrites_(
           counter(registry, "calicodrift_quarantine_writes_total", "", {{"written", "false"}})),
-      remembered_(gauge(registry, "calicodrift_quarantine_requests",
-                        "Requests under which a server has ended")),
+      tracked_(gauge(registry, "calicodrift_quarantine_requests",
+                     "Requests under which a server has ended")),
       barred_(gauge(registry, "calicodrift_quarantine_barred", "Requests that are sent nowhere")),
-      forgotten_(gauge(registry, "calicodrift_quarantine_forgotten",
-                       "Requests that were forgotten as there was no room")) {}
+      evicted_(gauge(registry, "calicodrift_quarantine_forgotten",
+                     "Requests that were forgotten as there was no room")) {}
 
-void QuarantineMetrics::set(std::size_t remembered, std::size_t barred, std::size_t forgotten) {
-  remembered_.Set(static_cast<double>(remembered));
+void QuarantineMetrics::set(std::size_t tracked, std::size_t barred, std::size_t evicted) {
+  tracked_.Set(static_cast<double>(tracked));
   barred_.Set(static_cast<double>(barred));
-  forgotten_.Set(static_cast<double>(forgotten));
+  evicted_.Set(static_cast<double>(evicted));
 }
 
 }  // namespace calicodrift::quarantine
--- a/src/quarantine/metrics.h
+++ b/src/quarantine/metrics.h
@@ -4,24 +4,24 @@
 
 namespace calicodrift::quarantine {
 
-/// All counters of the quarantine module.
+/// Metrics of the quarantine module.
 class QuarantineMetrics {
  public:
   explicit QuarantineMetrics(prometheus::Registry& registry);
 
-  /// A server's process ended under a request of this node.
-  void countEnd() { ends_.Increment(); }
+  /// A server process crashed under a request of this node.
+  void countCrash() { crashes_.Increment(); }
   void countBarredRefusal() { barredRefusals_.Increment(); }
   void countTrialRefusal() { trialRefusals_.Increment(); }
-  /// Attempts of suspects that were sent.
+  /// An attempt of a suspect was admitted.
   void countTrial() { trials_.Increment(); }
-  /// Reports to neighbours, by whether they were taken.
+  /// A report to a neighbour was accepted or failed.
   void countReport(bool taken) { (taken ? takenReports_ : failedReports_).Increment(); }
   void countRecordWrite(bool written) { (written ? writes_ : failedWrites_).Increment(); }
-  void set(std::size_t remembered, std::size_t barred, std::size_t forgotten);
+  void set(std::size_t tracked, std::size_t barred, std::size_t evicted);
 
  private:
-  prometheus::Counter& ends_;
+  prometheus::Counter& crashes_;
   prometheus::Counter& barredRefusals_;
   prometheus::Counter& trialRefusals_;
   prometheus::Counter& trials_;
@@ -29,9 +29,9 @@
   prometheus::Counter& failedReports_;
   prometheus::Counter& writes_;
   prometheus::Counter& failedWrites_;
-  prometheus::Gauge& remembered_;
+  prometheus::Gauge& tracked_;
   prometheus::Gauge& barred_;
-  prometheus::Gauge& forgotten_;
+  prometheus::Gauge& evicted_;
 };
 
 }  // namespace calicodrift::quarantine
--- a/src/quarantine/quarantine_node.cc
+++ b/src/quarantine/quarantine_node.cc
@@ -16,19 +16,20 @@
 
 namespace {
 
-/// Between two questions to a parent that has not read the records yet itself.
+/// Retry interval while the parent has not read the records itself.
 constexpr Milliseconds kStartInterval{100};
-/// A refused caller comes back when the attempt under way is likely to have ended.
+/// Suggested to a refused caller, by when the current attempt is likely to have ended.
 constexpr Milliseconds kTrialRetryAfter{500};
 
 Error barred(const RequestFingerprint& request, std::size_t count) {
-  return fail(ErrorKind::kRequestBarred,
-              std::to_string(count) + " servers have ended under request " + toString(request));
+  return fail(
+      ErrorKind::kRequestBarred,
+      std::to_string(count) + " servers have crashed while running request " + toString(request));
 }
 
-Error underWay(const RequestFingerprint& request, std::string_view why) {
+Error underWay(const RequestFingerprint& request, std::string_view reason) {
   Error error =
-      fail(ErrorKind::kTrialUnderWay, std::string(why) + ": request " + toString(request));
+      fail(ErrorKind::kTrialUnderWay, std::string(reason) + ": request " + toString(request));
   error.retryAfter = kTrialRetryAfter;
   return error;
 }
@@ -54,7 +55,7 @@
       metrics_(metrics),
       records_(store, std::move(recordKind), ledger_, metrics, std::move(onUnreadable)),
       random_(seed),
-      news_(newsContext()) {}
+      spreader_(newsContext()) {}
 
 relay::NewsContext QuarantineNode::newsContext() {
   return {context_.executor, [this] { return neighbours(); }, [this] { return ledger_.version(); },
@@ -71,36 +72,38 @@
 awaitable<void> QuarantineNode::run() {
   asio::steady_timer timer(context_.executor);
   for (;;) {
-    co_await greetParent();
-    const bool byItself = context_.readsStore() || parentIsOlder_;
-    if (byItself) {
+    co_await synchronizeWithParent();
+    const bool readsRecords = context_.readsStore() || parentIsOlderBuild_;
+    if (readsRecords) {
       co_await records_.synchronize();
     }
     settled_ = settled_ || records_.read();
     co_await findOtherTrees();
-    news_.forgetFormerNeighbours();
-    news_.tellSoon();
+    spreader_.forgetFormerNeighbours();
+    spreader_.tellSoon();
     timer.expires_after(synchronized() ? kInterval : kStartInterval);
     co_await timer.async_wait(asio::use_awaitable);
   }
 }
 
 awaitable<void> QuarantineNode::findOtherTrees() {
-  // Their lists cost a call each, so that they are read only where there is news for them.
-  if (context_.otherTrees && context_.tree.isRoot() && ledger_.version() != otherTreesVersion_) {
-    otherTreesVersion_ = ledger_.version();
-    otherTrees_ = co_await context_.otherTrees();
+  // Reading the roots of the other trees takes a call each, so it is done only if there is news for
+  // them.
+  if (context_.otherTrees && context_.tree.isRoot() &&
+      ledger_.version() != otherTreeRootsVersion_) {
+    otherTreeRootsVersion_ = ledger_.version();
+    otherTreeRoots_ = co_await context_.otherTrees();
   }
 }
 
 bool QuarantineNode::synchronized() const {
-  return settled_ || monotonicNow() - startedAt_ > kLongestStart;
+  return settled_ || monotonicNow() - startedAt_ > kMaxStartupTime;
 }
 
-awaitable<void> QuarantineNode::greetParent() {
+awaitable<void> QuarantineNode::synchronizeWithParent() {
   const std::optional<Endpoint> parent = context_.tree.parent();
-  const bool isNew = parent && (parent != greeted_ || !synchronized());
-  if (!isNew || (parentIsOlder_ && parent == greeted_)) {
+  const bool isNew = parent && (parent != synchronizedParent_ || !synchronized());
+  if (!isNew || (parentIsOlderBuild_ && parent == synchronizedParent_)) {
     co_return;
   }
   SuspectReport report;
@@ -110,16 +113,16 @@
     merge(answer.value().suspects);
     settled_ = settled_ || answer.value().settled;
   }
-  parentIsOlder_ = !answer && answer.error().kind == ErrorKind::kProtocolViolation;
-  if (answer || parentIsOlder_) {
-    greeted_ = parent;
+  parentIsOlderBuild_ = !answer && answer.error().kind == ErrorKind::kProtocolViolation;
+  if (answer || parentIsOlderBuild_) {
+    synchronizedParent_ = parent;
   }
 }
 
 std::vector<Endpoint> QuarantineNode::neighbours() const {
   const bool isRoot = context_.tree.isRoot();
-  return relay::neighboursIn(context_.tree, isRoot || parentIsOlder_,
-                             isRoot ? otherTrees_ : std::vector<Endpoint>());
+  return relay::neighboursIn(context_.tree, isRoot || parentIsOlderBuild_,
+                             isRoot ? otherTreeRoots_ : std::vector<Endpoint>());
 }
 
 awaitable<bool> QuarantineNode::push(Endpoint neighbour, std::uint64_t since, Milliseconds wait,
@@ -154,10 +157,10 @@
     co_return;
   }
   co_await peer::answerPeer<SuspectReport, SuspectReport>(
-      request, writer, [this](SuspectReport report) { return take(std::move(report)); });
+      request, writer, [this](SuspectReport report) { return handleReport(std::move(report)); });
 }
 
-awaitable<SuspectReport> QuarantineNode::take(SuspectReport report) {
+awaitable<SuspectReport> QuarantineNode::handleReport(SuspectReport report) {
   const std::uint64_t before = ledger_.version();
   merge(report.suspects);
   SuspectReport answer;
@@ -165,12 +168,12 @@
   answer.settled = settled_;
   if (report.fresh) {
     answer.suspects = ledger_.changedSince(0);
-    news_.setTold(report.sender, ledger_.version());
+    spreader_.setTold(report.sender, ledger_.version());
   } else {
-    news_.onNewsFrom(report.sender, before);
+    spreader_.onNewsFrom(report.sender, before);
   }
   if (ledger_.version() != before) {
-    co_await news_.tell(std::min(Milliseconds(report.waitMs), kTellTime), report.sender);
+    co_await spreader_.tell(std::min(Milliseconds(report.waitMs), kTellTime), report.sender);
   }
   co_return answer;
 }
@@ -179,38 +182,38 @@
   for (const Suspect& suspect : suspects) {
     const bool wasBarred = ledger_.isBarred(suspect.request);
     if (ledger_.merge(suspect, monotonicNow())) {
-      logBar(suspect.request, wasBarred);
+      logStandingChange(suspect.request, wasBarred);
     }
   }
 }
 
-void QuarantineNode::logBar(const RequestFingerprint& request, bool wasBarred) const {
+void QuarantineNode::logStandingChange(const RequestFingerprint& request, bool wasBarred) const {
   const bool isBarred = ledger_.isBarred(request);
   if (isBarred != wasBarred) {
     const Standing standing = ledger_.standingOf(request);
     log::write(log::Level::kWarning, "request_standing",
                {{"request", toString(request)},
                 {"standing", std::string(nameOf(standing))},
-                {"servers", std::to_string(ledger_.countOf(request))}});
+                {"servers", std::to_string(ledger_.crashCount(request))}});
   }
 }
 
 awaitable<void> QuarantineNode::noteEnded(RequestFingerprint request, ServerRun run,
                                           Milliseconds underWay) {
-  metrics_.countEnd();
+  metrics_.countCrash();
   merge(Suspect{request, {run}, {}, static_cast<std::uint32_t>(underWay.count())});
-  co_await news_.tell(kTellTime);
+  co_await spreader_.tell(kTellTime);
 }
 
-void QuarantineNode::lift(const RequestFingerprint& request, const std::string& reason) {
+void QuarantineNode::clearRequest(const RequestFingerprint& request, const std::string& reason) {
   const bool wasBarred = ledger_.isBarred(request);
   if (!ledger_.clear(request)) {
     return;
   }
   log::write(log::Level::kInfo, "request_cleared",
              {{"request", toString(request)}, {"reason", reason}});
-  logBar(request, wasBarred);
-  news_.tellSoon();
+  logStandingChange(request, wasBarred);
+  spreader_.tellSoon();
 }
 
 awaitable<Result<Trial>> QuarantineNode::admit(RequestFingerprint request,
@@ -221,19 +224,19 @@
   }
   if (standing == Standing::kBarred) {
     metrics_.countBarredRefusal();
-    co_return barred(request, ledger_.countOf(request));
+    co_return barred(request, ledger_.crashCount(request));
   }
   TrialRequest asked;
   asked.token = random_();
   asked.termMs = static_cast<std::uint32_t>(term.count());
   asked.suspect = ledger_.suspect(request);
   asked.choices = std::move(choices);
-  const std::optional<TrialReply> reply = co_await askForTrial(asked);
+  const std::optional<TrialReply> reply = co_await requestTrial(asked);
   if (reply) {
     merge(reply->suspect);
   }
-  // What was learnt meanwhile counts.
-  const std::size_t count = ledger_.countOf(request);
+  // Read again, as news may have arrived during the call.
+  const std::size_t count = ledger_.crashCount(request);
   const bool isBarred = ledger_.isBarred(request);
   const bool granted = reply && reply->granted;
   if (granted && !isBarred) {
@@ -247,8 +250,8 @@
     metrics_.countBarredRefusal();
     co_return barred(request, count);
   }
-  constexpr std::size_t kMostWithoutRoot = 1;
-  if (!reply && count <= kMostWithoutRoot) {
+  constexpr std::size_t kMaxCrashesWithoutRoot = 1;
+  if (!reply && count <= kMaxCrashesWithoutRoot) {
     metrics_.countTrial();
     co_return Trial(ServerRun(), [] {});
   }
@@ -266,7 +269,7 @@
   });
 }
 
-std::vector<Endpoint> QuarantineNode::admitters() const {
+std::vector<Endpoint> QuarantineNode::admittingRoots() const {
   std::vector<Endpoint> roots = context_.tree.roots();
   if (context_.tree.isRoot()) {
     roots.push_back(context_.tree.endpoint);
@@ -275,17 +278,17 @@
   return roots;
 }
 
-awaitable<std::optional<TrialReply>> QuarantineNode::askForTrial(TrialRequest request) {
+awaitable<std::optional<TrialReply>> QuarantineNode::requestTrial(TrialRequest request) {
   if (context_.tree.isAlone()) {
     co_return decideTrial(request);
   }
-  const std::vector<Endpoint> roots = admitters();
+  const std::vector<Endpoint> roots = admittingRoots();
   for (const Endpoint& root : roots) {
     if (root == context_.tree.endpoint) {
       co_return decideTrial(request);
     }
     const Result<TrialReply> reply = co_await peer::callPeer<TrialReply>(
-        context_.client, root, kTrialPath, request, kAdmitTime, kAdmitTime);
+        context_.client, root, kTrialPath, request, kAdmitTimeout, kAdmitTimeout);
     if (reply) {
       co_return reply.value();
     }
@@ -317,7 +320,7 @@
 awaitable<void> QuarantineNode::endTrial(TrialRequest request) {
   request.ends = true;
   request.suspect = ledger_.suspect(request.suspect.request);
-  static_cast<void>(co_await askForTrial(std::move(request)));
+  static_cast<void>(co_await requestTrial(std::move(request)));
 }
 
 awaitable<void> QuarantineNode::answerOperator(http::Request& request,
@@ -333,12 +336,12 @@
           ? std::nullopt
           : parseFingerprint(std::string_view(request.target).substr(query + kQuery.size()));
   if (!fingerprint || !ledger_.contains(*fingerprint)) {
-    const Error error = fail(ErrorKind::kNotFound, "no such request is remembered here");
+    const Error error = fail(ErrorKind::kNotFound, "this node has no record of the request");
     co_await http::respond(writer, http::errorResponse(error));
     co_return;
   }
-  lift(*fingerprint, "operator");
-  co_await news_.tell(kTellTime);
+  clearRequest(*fingerprint, "operator");
+  co_await spreader_.tell(kTellTime);
   co_await http::respond(writer, http::jsonResponse(http::kStatusOk, listText()));
 }
 
@@ -347,13 +350,13 @@
   for (const Suspect& suspect : ledger_.atLeast(1)) {
     list.push_back(boost::json::object{{"request", toString(suspect.request)},
                                        {"standing", nameOf(ledger_.standingOf(suspect.request))},
-                                       {"servers", ledger_.countOf(suspect.request)}});
+                                       {"servers", ledger_.crashCount(suspect.request)}});
   }
   return boost::json::serialize(boost::json::object{{"requests", list}});
 }
 
 void QuarantineNode::showMetrics() {
-  metrics_.set(ledger_.size(), ledger_.countBarred(), ledger_.forgotten());
+  metrics_.set(ledger_.size(), ledger_.countBarred(), ledger_.evicted());
 }
 
 }  // namespace calicodrift::quarantine
--- a/src/quarantine/records.cc
+++ b/src/quarantine/records.cc
@@ -13,9 +13,9 @@
 namespace json = boost::json;
 using boost::asio::awaitable;
 
-/// After a failed call; it doubles up to the longest, as each costs a call.
-constexpr Milliseconds kFirstPause{500};
-constexpr Milliseconds kLongestPause{8000};
+/// Pause after a failed call. It doubles up to kMaxPause, since each attempt costs a call.
+constexpr Milliseconds kInitialPause{500};
+constexpr Milliseconds kMaxPause{8000};
 
 json::array toNumbers(const std::vector<ServerRun>& runs) {
   json::array numbers;
@@ -28,7 +28,7 @@
 std::vector<ServerRun> toRuns(const json::value& numbers) {
   std::vector<ServerRun> runs;
   for (const json::value& number : numbers.as_array()) {
-    if (runs.size() < CrashLedger::kMostRuns) {
+    if (runs.size() < CrashLedger::kMaxRunsPerRequest) {
       runs.emplace_back(number.to_number<std::uint64_t>());
     }
   }
@@ -47,7 +47,7 @@
 Result<Suspect> suspectFrom(const store::Object& object) {
   const auto request = parseFingerprint(object.name);
   if (!request) {
-    return store::unreadable(store::kFieldRange, "the name is no fingerprint of a request");
+    return store::unreadable(store::kFieldRange, "the object name is not a request fingerprint");
   }
   try {
     return Suspect{*request, toRuns(object.spec.at("ended")), toRuns(object.spec.at("cleared")),
@@ -75,13 +75,13 @@
     co_await readAll();
   }
   bool written = true;
-  for (const Suspect& suspect : lacking()) {
+  for (const Suspect& suspect : unsavedSuspects()) {
     written = written && co_await write(suspect);
   }
   if (read_ && written) {
     pause_ = Milliseconds(0);
   } else {
-    pause_ = std::clamp(2 * pause_, kFirstPause, kLongestPause);
+    pause_ = std::clamp(2 * pause_, kInitialPause, kMaxPause);
     pausedUntil_ = monotonicNow() + pause_;
   }
   busy_ = false;
@@ -110,8 +110,8 @@
   static_cast<void>(ledger_.merge(suspect.value(), monotonicNow()));
 }
 
-std::vector<Suspect> Records::lacking() const {
-  std::vector<Suspect> wanted = ledger_.atLeast(kLeastRecorded);
+std::vector<Suspect> Records::unsavedSuspects() const {
+  std::vector<Suspect> wanted = ledger_.atLeast(kMinRecordedCrashes);
   for (const auto& [request, stored] : stored_) {
     const auto same = [&request = request](const Suspect& one) { return one.request == request; };
     if (ledger_.contains(request) && std::none_of(wanted.begin(), wanted.end(), same)) {
@@ -137,7 +137,7 @@
     stored_[suspect.request] = {written.value(), suspect};
     co_return true;
   }
-  // Another node has written it, or an answer was lost: what is there is taken over first.
+  // Another node has written the record, or an answer was lost: read the stored record first.
   const Result<store::Object> there = co_await store_.get(kind_, object.name);
   if (there) {
     take(there.value());
--- a/src/quarantine/records.h
+++ b/src/quarantine/records.h
@@ -12,28 +12,28 @@
 
 namespace calicodrift::quarantine {
 
-/// Fails with kProtocolViolation where the object was written by another program.
+/// Fails with kProtocolViolation if the object was written by another program.
 Result<Suspect> suspectFrom(const store::Object& object);
 boost::json::value toJson(const Suspect& suspect);
 
-/// Keeps in the store which requests are close to be barred, or barred, as no node's memory
-/// outlives a restart of all nodes: an object a request, from its second server on. Reading costs
-/// one listing for each root that starts, writing one or two calls for each of the later servers.
+/// Persists the requests that are barred or close to it, since no node's memory survives a restart
+/// of all nodes: one object per request, from its second crashed server on. Reading costs one
+/// listing for each starting root, writing one or two calls for each further server.
 class Records {
  public:
   using UnreadableListener = std::function<void(const store::Object&, const Error&)>;
 
-  /// @param kind of the objects; the product's own.
+  /// @param kind kind of the stored objects; set by the product.
   Records(store::ObjectStore& store, std::string kind, CrashLedger& ledger,
           QuarantineMetrics& metrics, UnreadableListener onUnreadable);
 
-  /// Whether the store's records were read since the start.
+  /// Whether the stored records have been read since the start.
   bool read() const { return read_; }
-  /// Brings ledger and store in line, as far as the store answers. One call at a time.
+  /// Synchronizes ledger and store as far as the store answers. One call at a time.
   boost::asio::awaitable<void> synchronize();
 
-  /// Two runs are few bystanders, and one more bars the request.
-  static constexpr std::size_t kLeastRecorded = 2;
+  /// Few bystanders reach two runs, and one more bars the request.
+  static constexpr std::size_t kMinRecordedCrashes = 2;
 
  private:
   struct Stored {
@@ -44,8 +44,8 @@
   boost::asio::awaitable<void> readAll();
   boost::asio::awaitable<bool> write(Suspect suspect);
   void take(const store::Object& object);
-  /// Those whose record the store lacks, or that changed since.
-  std::vector<Suspect> lacking() const;
+  /// Suspects that have no record in the store, or that changed since it was written.
+  std::vector<Suspect> unsavedSuspects() const;
 
   store::ObjectStore& store_;
   std::string kind_;
@@ -55,7 +55,7 @@
   std::map<RequestFingerprint, Stored> stored_;
   bool read_ = false;
   bool busy_ = false;
-  /// After a call that failed.
+  /// End of the pause after a failed call.
   MonotonicTime pausedUntil_{};
   Milliseconds pause_{0};
 };
--- a/src/quarantine/trial_table.cc
+++ b/src/quarantine/trial_table.cc
@@ -11,11 +11,11 @@
   if (trials_.contains(request)) {
     return std::nullopt;
   }
-  const auto fewest = std::min_element(
+  const auto leastLoaded = std::min_element(
       choices.begin(), choices.end(),
       [this](ServerRun first, ServerRun second) { return attemptsAt(first) < attemptsAt(second); });
-  const ServerRun server = fewest == choices.end() ? ServerRun() : *fewest;
-  trials_[request] = {token, server, now + std::min(term, kLongestTerm)};
+  const ServerRun server = leastLoaded == choices.end() ? ServerRun() : *leastLoaded;
+  trials_[request] = {token, server, now + std::min(term, kMaxTerm)};
   return server;
 }
 
--- a/src/quarantine/trial_table.h
+++ b/src/quarantine/trial_table.h
@@ -11,31 +11,32 @@
 
 namespace calicodrift::quarantine {
 
-/// Names one attempt of a suspect.
+/// Identifies one attempt of a suspect.
 using TrialToken = StrongType<struct TrialTokenTag, std::uint64_t>;
 
-/// The attempts of suspects that are under way in the fleet, at the node that admits them. No I/O;
-/// calls are told the time.
+/// Attempts of suspects that are in flight in the fleet, held by the node that admits them. Does no
+/// I/O; callers pass the time.
 ///
-/// Each attempt is given a server of its own where there are enough: two suspects that end one
-/// server together can't be told apart by it.
+/// Each attempt gets a server of its own if there are enough: two suspects that crash one server
+/// together cannot be told apart by that crash.
 ///
-/// Invariant: one attempt of a request at a time. One whose node has died ends with its term.
+/// Invariant: one attempt of a request at a time. An attempt whose node has died expires with its
+/// term.
 class TrialTable {
  public:
-  /// An attempt that is not told to have ended counts so long at most: as long as a stream may
-  /// stand still before its caller leaves.
-  static constexpr Milliseconds kLongestTerm{5000};
+  /// Upper bound of the term of an attempt whose end is not reported: as long as a stream may stall
+  /// before its caller leaves.
+  static constexpr Milliseconds kMaxTerm{5000};
 
   /// @param choices servers that the attempt may go to, the best first.
-  /// @return the first of them with the fewest attempts under way, ServerRun() where there are no
-  ///   choices; nothing where another attempt of the request is under way.
+  /// @return the first of them with the fewest attempts in flight, ServerRun() if there are no
+  ///   choices; empty if another attempt of the request is in flight.
   std::optional<ServerRun> begin(const RequestFingerprint& request, TrialToken token,
                                  const std::vector<ServerRun>& choices, Milliseconds term,
                                  MonotonicTime now);
-  /// Does nothing where another attempt has begun since.
+  /// Does nothing if another attempt has begun since.
   void end(const RequestFingerprint& request, TrialToken token);
-  /// Until the request's attempt under way ends at the latest; 0 where there is none.
+  /// Time until the request's current attempt has ended at the latest; 0 if there is none.
   Milliseconds remaining(const RequestFingerprint& request, MonotonicTime now) const;
 
  private:
--- a/tests/quarantine/crash_ledger_test.cc
+++ b/tests/quarantine/crash_ledger_test.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr MonotonicTime kStart{std::chrono::hours(1)};
-/// Ends so far apart have nothing to do with each other.
+/// Crashes this far apart are unrelated.
 constexpr Milliseconds kApart{2000};
 constexpr Milliseconds kShort{40};
 
@@ -18,9 +18,9 @@
   return ServerRun(number);
 }
 
-/// The request ends servers with these numbers, one after the other.
-void endApart(CrashLedger& ledger, std::uint64_t number, std::uint64_t first, std::uint64_t last,
-              MonotonicTime& now) {
+/// Records crashes of the servers `first` to `last` under the request, one after the other.
+void crashSeparately(CrashLedger& ledger, std::uint64_t number, std::uint64_t first,
+                     std::uint64_t last, MonotonicTime& now) {
   for (std::uint64_t server = first; server <= last; ++server) {
     now += kApart;
     ledger.noteEnded(request(number), run(server), kShort, now);
@@ -29,39 +29,39 @@
 
 BOOST_AUTO_TEST_SUITE(crash_ledger)
 
-BOOST_AUTO_TEST_CASE(requestIsBarredAfterThreeServers) {
+BOOST_AUTO_TEST_CASE(requestIsBarredAfterThreeCrashes) {
   CrashLedger ledger;
   MonotonicTime now = kStart;
   BOOST_TEST((ledger.standingOf(request(1)) == Standing::kClear));
-  endApart(ledger, 1, 1, 1, now);
+  crashSeparately(ledger, 1, 1, 1, now);
   BOOST_TEST((ledger.standingOf(request(1)) == Standing::kSuspect));
-  endApart(ledger, 1, 2, 2, now);
+  crashSeparately(ledger, 1, 2, 2, now);
   BOOST_TEST((ledger.standingOf(request(1)) == Standing::kSuspect));
-  endApart(ledger, 1, 3, 3, now);
+  crashSeparately(ledger, 1, 3, 3, now);
   BOOST_TEST((ledger.standingOf(request(1)) == Standing::kBarred));
 }
 
-BOOST_AUTO_TEST_CASE(serversCountAndNotAttempts) {
+BOOST_AUTO_TEST_CASE(serverRunsCountRatherThanAttempts) {
   CrashLedger ledger;
   for (int attempt = 0; attempt < 5; ++attempt) {
     ledger.noteEnded(request(1), run(1), kShort, kStart + attempt * kApart);
   }
-  BOOST_TEST(ledger.countOf(request(1)) == 1U);
+  BOOST_TEST(ledger.crashCount(request(1)) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(bystanderIsClearedWhenTheCauseShows) {
+BOOST_AUTO_TEST_CASE(bystanderIsClearedOnceTheCauseIsKnown) {
   CrashLedger ledger;
   ledger.noteEnded(request(1), run(1), kShort, kStart);
   ledger.noteEnded(request(2), run(1), kShort, kStart);
   BOOST_TEST((ledger.standingOf(request(2)) == Standing::kSuspect));
   ledger.noteEnded(request(1), run(2), kShort, kStart + kApart);
   BOOST_TEST((ledger.standingOf(request(2)) == Standing::kClear));
-  BOOST_TEST(ledger.countOf(request(1)) == 2U);
+  BOOST_TEST(ledger.crashCount(request(1)) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(ofTwoWithTheSameServersTheSoonerOneIsTheCause) {
+BOOST_AUTO_TEST_CASE(fasterOfTwoSuspectsWithTheSameCrashesIsTheCause) {
   CrashLedger ledger;
-  for (std::uint64_t server = 1; server <= CrashLedger::kMostEnds; ++server) {
+  for (std::uint64_t server = 1; server <= CrashLedger::kCrashesToBar; ++server) {
     const MonotonicTime now = kStart + server * kApart;
     ledger.noteEnded(request(1), run(server), kShort, now);
     ledger.noteEnded(request(2), run(server), 10 * kShort, now);
@@ -70,7 +70,7 @@
   BOOST_TEST((ledger.standingOf(request(2)) == Standing::kClear));
 }
 
-BOOST_AUTO_TEST_CASE(serversThatEndTogetherSpeakAgainstNobody) {
+BOOST_AUTO_TEST_CASE(concurrentCrashesIncriminateNoRequest) {
   CrashLedger ledger;
   MonotonicTime now = kStart;
   for (int time = 0; time < 4; ++time) {
@@ -83,10 +83,10 @@
   BOOST_TEST((ledger.standingOf(request(1)) != Standing::kBarred));
 }
 
-BOOST_AUTO_TEST_CASE(severalRequestsThatEndServersAtOnceAreAllBarred) {
+BOOST_AUTO_TEST_CASE(severalConcurrentCulpritsAreAllBarred) {
   CrashLedger ledger;
   MonotonicTime now = kStart;
-  for (std::uint64_t round = 0; round < CrashLedger::kMostEnds; ++round) {
+  for (std::uint64_t round = 0; round < CrashLedger::kCrashesToBar; ++round) {
     now += Milliseconds(300);
     for (std::uint64_t number = 1; number <= 5; ++number) {
       ledger.noteEnded(request(number), run(10 * round + number), kShort, now);
@@ -97,22 +97,22 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(requestThatRanToItsEndIsClear) {
+BOOST_AUTO_TEST_CASE(completedRequestIsCleared) {
   CrashLedger ledger;
   MonotonicTime now = kStart;
-  endApart(ledger, 1, 1, 2, now);
+  crashSeparately(ledger, 1, 1, 2, now);
   BOOST_TEST(ledger.clear(request(1)));
   BOOST_TEST((ledger.standingOf(request(1)) == Standing::kClear));
-  // What is told again of before speaks against it no more; what comes later does.
+  // Repeated reports of earlier crashes no longer count; later crashes do.
   BOOST_TEST(!ledger.noteEnded(request(1), run(2), kShort, now));
-  endApart(ledger, 1, 3, 3, now);
-  BOOST_TEST(ledger.countOf(request(1)) == 1U);
+  crashSeparately(ledger, 1, 3, 3, now);
+  BOOST_TEST(ledger.crashCount(request(1)) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(reportsInAnyOrderLeadToTheSame) {
+BOOST_AUTO_TEST_CASE(reportsConvergeInAnyOrder) {
   MonotonicTime now = kStart;
   CrashLedger first;
-  endApart(first, 1, 1, 3, now);
+  crashSeparately(first, 1, 1, 3, now);
   CrashLedger second;
   second.noteEnded(request(1), run(4), kShort, kStart);
   const std::vector<Suspect> told = first.changedSince(0);
@@ -128,16 +128,16 @@
   BOOST_TEST(!first.merge(second.suspect(request(1)), now));
 }
 
-BOOST_AUTO_TEST_CASE(whatIsBarredOutlivesAFloodOfOthers) {
+BOOST_AUTO_TEST_CASE(barredRequestSurvivesEviction) {
   CrashLedger ledger(16);
   MonotonicTime now = kStart;
-  endApart(ledger, 1, 1, 3, now);
+  crashSeparately(ledger, 1, 1, 3, now);
   for (std::uint64_t number = 100; number < 400; ++number) {
     now += kApart;
     ledger.noteEnded(request(number), run(number), kShort, now);
   }
   BOOST_TEST(ledger.size() == 16U);
-  BOOST_TEST(ledger.forgotten() == 285U);
+  BOOST_TEST(ledger.evicted() == 285U);
   BOOST_TEST((ledger.standingOf(request(1)) == Standing::kBarred));
 }
 
--- a/tests/quarantine/drawn_schedules_test.cc
+++ b/tests/quarantine/drawn_schedules_test.cc
@@ -1,6 +1,7 @@
-// Drawn schedules of a fleet in virtual time: servers end under requests, by themselves and many at
-// once, while streams of seconds run on them, some of which go on elsewhere. Judges what the ledger
-// says: what ends its servers is barred in time, and nothing else ever is.
+// Randomized schedules of a fleet in virtual time: servers crash under requests, spontaneously and
+// many at once, while streams that last for seconds run on them, some of which are resent
+// elsewhere. Checks the standings in the ledger: requests that crash their servers are barred in
+// time, and no other request ever is.
 
 #include <array>
 #include <boost/test/unit_test.hpp>
@@ -17,18 +18,19 @@
 constexpr Milliseconds kStep{50};
 constexpr std::size_t kSchedules = 10'000;
 /// None, 0.6 and 1.2 servers a minute, about as on the users' days with trouble.
-constexpr std::array<double, 3> kLoneEndsAStep{0, 0.0005, 0.001};
-/// Once a minute a fault ends 3 to 10 of ten servers at once.
-constexpr double kCommonFaultsAStep = 0.001;
-/// Whatever else goes on: three that count, and three more where other causes are as likely.
-constexpr std::size_t kMostEndedAnyway = CrashLedger::kMostEndsAnyway;
-/// Servers that a bystander gets to at most: two for each of its caller's two tries.
-constexpr std::size_t kMostSends = 4;
+constexpr std::array<double, 3> kSpontaneousCrashesPerStep{0, 0.0005, 0.001};
+/// Once a minute a fault crashes 3 to 10 of ten servers at once.
+constexpr double kCommonFaultsPerStep = 0.001;
+/// Upper bound under any conditions: three crashes that count, and three more if other causes are
+/// as likely.
+constexpr std::size_t kMaxCrashesPerCulprit = CrashLedger::kCrashesToBarRegardless;
+/// Servers that a bystander reaches at most: two for each of its caller's two attempts.
+constexpr std::size_t kMaxSends = 4;
 
 struct Outcome {
   std::size_t barredBystanders = 0;
-  std::size_t mostEnded = 0;
-  /// Requests that end their servers.
+  std::size_t maxCrashes = 0;
+  /// Requests that crash their servers.
   std::size_t culprits = 0;
 };
 
@@ -37,29 +39,31 @@
   explicit Schedule(std::uint64_t seed)
       : random_(seed),
         servers_(3 + pick(12)),
-        ends_(pick(4)),
-        loneEnds_(kLoneEndsAStep[pick(kLoneEndsAStep.size())]) {
+        culprits_(pick(4)),
+        spontaneousCrashChance_(
+            kSpontaneousCrashesPerStep[pick(kSpontaneousCrashesPerStep.size())]) {
     for (std::size_t server = 0; server < servers_.size(); ++server) {
       servers_[server].run = ServerRun(++nextRun_);
     }
   }
 
-  Outcome play() {
+  Outcome simulate() {
     constexpr int kSteps = 300;
     for (int step = 0; step < kSteps; ++step) {
       now_ += kStep;
-      comeBack();
+      updateServers();
       sendBystanders();
       sendCulprits();
-      endByThemselves();
+      crashSpontaneously();
     }
     Outcome outcome;
-    outcome.culprits = ends_;
+    outcome.culprits = culprits_;
     for (const std::uint64_t bystander : bystanders_) {
-      outcome.barredBystanders += ledger_.standingOf(of(bystander)) == Standing::kBarred ? 1U : 0U;
+      outcome.barredBystanders +=
+          ledger_.standingOf(fingerprintFor(bystander)) == Standing::kBarred ? 1U : 0U;
     }
-    for (const auto& [culprit, count] : endedBy_) {
-      outcome.mostEnded = std::max(outcome.mostEnded, count);
+    for (const auto& [culprit, count] : crashesBy_) {
+      outcome.maxCrashes = std::max(outcome.maxCrashes, count);
     }
     return outcome;
   }
@@ -68,14 +72,14 @@
   struct Server {
     ServerRun run;
     bool up = true;
-    MonotonicTime backAt{};
-    /// Requests that run there, until when.
+    MonotonicTime restartAt{};
+    /// Requests in flight there, with the time of their end.
     std::map<std::uint64_t, MonotonicTime> running;
-    /// Since when each of them.
+    /// When each of them was sent.
     std::map<std::uint64_t, MonotonicTime> sentAt;
   };
 
-  static RequestFingerprint of(std::uint64_t number) { return {1, 0, number}; }
+  static RequestFingerprint fingerprintFor(std::uint64_t number) { return {1, 0, number}; }
   std::size_t pick(std::size_t count) {
     return std::uniform_int_distribution<std::size_t>(0, count - 1)(random_);
   }
@@ -83,24 +87,25 @@
     return std::uniform_real_distribution<double>(0, 1)(random_) < share;
   }
 
-  void comeBack() {
+  void updateServers() {
     for (Server& server : servers_) {
-      if (!server.up && now_ >= server.backAt) {
+      if (!server.up && now_ >= server.restartAt) {
         server.up = true;
         server.run = ServerRun(++nextRun_);
       }
       std::erase_if(server.running, [this](const auto& one) {
         const bool done = one.second <= now_;
         if (done) {
-          ledger_.clear(of(one.first));
-          trials_.end(of(one.first), TrialToken(one.first));
+          ledger_.clear(fingerprintFor(one.first));
+          trials_.end(fingerprintFor(one.first), TrialToken(one.first));
         }
         return done;
       });
     }
   }
 
-  /// As the forwarder: at random for those that are clear, else as the trial table says.
+  /// Chooses like the forwarder: at random for clear requests, otherwise as the trial table
+  /// decides.
   Server* serverFor(std::uint64_t number) {
     std::vector<Server*> up;
     for (Server& server : servers_) {
@@ -108,7 +113,7 @@
         up.push_back(&server);
       }
     }
-    const Standing standing = ledger_.standingOf(of(number));
+    const Standing standing = ledger_.standingOf(fingerprintFor(number));
     if (up.empty() || standing == Standing::kBarred) {
       return nullptr;
     }
@@ -123,14 +128,14 @@
     for (const Server* server : up) {
       choices.push_back(server->run);
     }
-    const auto given =
-        trials_.begin(of(number), TrialToken(number), choices, TrialTable::kLongestTerm, now_);
-    const auto isGiven = [&given](const Server* server) { return server->run == given; };
-    return given ? *std::find_if(up.begin(), up.end(), isGiven) : nullptr;
+    const auto admitted = trials_.begin(fingerprintFor(number), TrialToken(number), choices,
+                                        TrialTable::kMaxTerm, now_);
+    const auto isAdmitted = [&admitted](const Server* server) { return server->run == admitted; };
+    return admitted ? *std::find_if(up.begin(), up.end(), isAdmitted) : nullptr;
   }
 
   void run(std::uint64_t number) {
-    Server* server = ++sends_[number] > kMostSends ? nullptr : serverFor(number);
+    Server* server = ++sends_[number] > kMaxSends ? nullptr : serverFor(number);
     if (server != nullptr) {
       server->running[number] = now_ + Milliseconds(50 + 50 * pick(60));
       server->sentAt[number] = now_;
@@ -142,7 +147,7 @@
       bystanders_.insert(++nextRequest_);
       run(nextRequest_);
     }
-    const std::vector<std::uint64_t> again = std::exchange(goOn_, {});
+    const std::vector<std::uint64_t> again = std::exchange(resends_, {});
     for (const std::uint64_t number : again) {
       run(number);
     }
@@ -150,25 +155,25 @@
 
   void sendCulprits() {
     constexpr std::uint64_t kFirstCulprit = 1'000'000;
-    for (std::uint64_t culprit = kFirstCulprit; culprit < kFirstCulprit + ends_; ++culprit) {
+    for (std::uint64_t culprit = kFirstCulprit; culprit < kFirstCulprit + culprits_; ++culprit) {
       if (!chance(0.1)) {
         continue;
       }
       if (Server* server = serverFor(culprit)) {
         server->running[culprit] = now_ + kStep;
         server->sentAt[culprit] = now_ - Milliseconds(30);
-        ++endedBy_[culprit];
+        ++crashesBy_[culprit];
         end(*server);
-        trials_.end(of(culprit), TrialToken(culprit));
+        trials_.end(fingerprintFor(culprit), TrialToken(culprit));
       }
     }
   }
 
-  void endByThemselves() {
-    if (chance(loneEnds_)) {
+  void crashSpontaneously() {
+    if (chance(spontaneousCrashChance_)) {
       end(servers_[pick(servers_.size())]);
     }
-    if (chance(kCommonFaultsAStep)) {
+    if (chance(kCommonFaultsPerStep)) {
       const double share = 0.3 + 0.1 * static_cast<double>(pick(8));
       for (Server& server : servers_) {
         if (chance(share)) {
@@ -183,16 +188,16 @@
       return;
     }
     server.up = false;
-    server.backAt = now_ + Milliseconds(500 + 100 * pick(30));
-    // Nodes find those gone that had nothing under way.
-    ledger_.noteIdleEnd(server.run, now_);
+    server.restartAt = now_ + Milliseconds(500 + 100 * pick(30));
+    // Nodes notice crashed servers even without requests in flight.
+    ledger_.recordIdleCrash(server.run, now_);
     for (const auto& [number, until] : server.running) {
-      trials_.end(of(number), TrialToken(number));
+      trials_.end(fingerprintFor(number), TrialToken(number));
       const auto underWay = std::chrono::floor<Milliseconds>(now_ - server.sentAt.at(number));
-      ledger_.noteEnded(of(number), server.run, underWay, now_);
-      // Half of them may be repeated, and half of the others' callers come again.
+      ledger_.noteEnded(fingerprintFor(number), server.run, underWay, now_);
+      // Half of them may be retried, and half of the others' callers send them again.
       if (bystanders_.contains(number) && chance(0.75)) {
-        goOn_.push_back(number);
+        resends_.push_back(number);
       }
     }
     server.running.clear();
@@ -200,10 +205,10 @@
 
   std::mt19937_64 random_;
   std::vector<Server> servers_;
-  /// Requests that end their servers.
-  std::size_t ends_;
-  /// Chance that a server ends by itself in a step.
-  double loneEnds_;
+  /// Number of requests that crash their servers.
+  std::size_t culprits_;
+  /// Probability that a server crashes spontaneously in a step.
+  double spontaneousCrashChance_;
   CrashLedger ledger_;
   TrialTable trials_;
   std::map<std::uint64_t, std::size_t> sends_;
@@ -211,30 +216,30 @@
   std::uint64_t nextRun_ = 0;
   std::uint64_t nextRequest_ = 0;
   std::set<std::uint64_t> bystanders_;
-  std::vector<std::uint64_t> goOn_;
-  std::map<std::uint64_t, std::size_t> endedBy_;
+  std::vector<std::uint64_t> resends_;
+  std::map<std::uint64_t, std::size_t> crashesBy_;
 };
 
-BOOST_AUTO_TEST_CASE(noBystanderIsBarredInDrawnSchedules) {
+BOOST_AUTO_TEST_CASE(noBystanderIsBarredInRandomizedSchedules) {
   std::size_t barred = 0;
-  std::size_t mostEnded = 0;
-  /// By culprits and servers that one of them ended at most.
+  std::size_t maxCrashes = 0;
+  /// Schedules by the number of culprits and the most servers that one of them crashed.
   std::map<std::pair<std::size_t, std::size_t>, std::size_t> ended;
   for (std::uint64_t seed = 1; seed <= kSchedules; ++seed) {
-    const Outcome outcome = Schedule(seed).play();
+    const Outcome outcome = Schedule(seed).simulate();
     if (outcome.barredBystanders > 0) {
       BOOST_TEST_MESSAGE("seed " << seed << ": " << outcome.barredBystanders << " barred");
     }
     barred += outcome.barredBystanders;
-    ++ended[{outcome.culprits, outcome.mostEnded}];
-    mostEnded = std::max(mostEnded, outcome.mostEnded);
+    ++ended[{outcome.culprits, outcome.maxCrashes}];
+    maxCrashes = std::max(maxCrashes, outcome.maxCrashes);
   }
   for (const auto& [kind, schedules] : ended) {
     BOOST_TEST_MESSAGE(kind.first << " culprits, " << kind.second
                                   << " servers ended by one: " << schedules << " schedules");
   }
   BOOST_TEST(barred == 0U);
-  BOOST_TEST(mostEnded <= kMostEndedAnyway);
+  BOOST_TEST(maxCrashes <= kMaxCrashesPerCulprit);
 }
 
 }  // namespace
--- a/tests/quarantine/fingerprint_test.cc
+++ b/tests/quarantine/fingerprint_test.cc
@@ -14,7 +14,7 @@
 
 BOOST_AUTO_TEST_SUITE(fingerprint)
 
-BOOST_AUTO_TEST_CASE(eachPartOfTheIdentityTellsRequestsApart) {
+BOOST_AUTO_TEST_CASE(eachPartOfTheIdentityChangesTheFingerprint) {
   const RequestFingerprint known = fingerprintOf(identity());
   BOOST_TEST((fingerprintOf(identity()) == known));
   RequestIdentity other = identity();
@@ -27,14 +27,14 @@
   other = identity();
   other.host = "i";
   BOOST_TEST((fingerprintOf(other) != known));
-  // What moves from one part into the next is another request.
+  // Bytes moved from one part into the next make another request.
   other = identity();
   other.target = "/a/bb";
   other.body = "ody";
   BOOST_TEST((fingerprintOf(other) != known));
 }
 
-BOOST_AUTO_TEST_CASE(textAndBackIsTheSame) {
+BOOST_AUTO_TEST_CASE(textRoundTrips) {
   const RequestFingerprint known = fingerprintOf(identity());
   const std::string text = toString(known);
   BOOST_TEST(text.size() == 48U);
@@ -56,11 +56,11 @@
   const double micros =
       std::chrono::duration<double, std::micro>(monotonicNow() - begin).count() / kTimes;
   BOOST_TEST_MESSAGE("fingerprint of 64 KB: " << micros << " us (" << sum << ")");
-  // A tenth of what one wake-up of a busy machine costs at most; far above what it takes.
+  // A tenth of the longest wake-up delay of a busy machine; far above the measured cost.
   BOOST_TEST(micros < 1000);
 }
 
-BOOST_AUTO_TEST_CASE(recordsOfAnotherWriterAreToldAndLeftOut) {
+BOOST_AUTO_TEST_CASE(malformedRecordsAreRejected) {
   store::Object object;
   object.name = toString(fingerprintOf(identity()));
   object.spec =
--- a/tests/quarantine/messages_test.cc
+++ b/tests/quarantine/messages_test.cc
@@ -9,7 +9,7 @@
 
 BOOST_AUTO_TEST_SUITE(quarantine_messages)
 
-BOOST_AUTO_TEST_CASE(whatALaterFormAppendsIsPassedOver) {
+BOOST_AUTO_TEST_CASE(fieldsAppendedByLaterFormatsAreIgnored) {
   SuspectReport report;
   report.sender = "10.0.0.1:7340";
   report.suspects = {{{1, 2, 3}, {ServerRun(7)}, {}, 40}};
@@ -27,7 +27,7 @@
   BOOST_TEST((trial.value().choices == asked.choices));
 }
 
-BOOST_AUTO_TEST_CASE(bytesThatAreNoMessageAreRefused) {
+BOOST_AUTO_TEST_CASE(malformedMessagesAreRejected) {
   BOOST_TEST(!peer::decode<SuspectReport>("no report"));
   const std::string whole = peer::encode(SuspectReport());
   for (std::size_t length = 0; length < whole.size(); ++length) {
