--- a/src/fleet/leaving_servers.h
+++ b/src/fleet/leaving_servers.h
@@ -26,7 +26,7 @@
   std::size_t size() const { return entries_.size(); }
   /// Number of runs ever added.
   std::uint64_t changes() const { return changes_; }
-  // Runs that were added after changes() had the value `change`.
+  /// Runs that were added after changes() had the value `change`.
   std::vector<ServerKey> notedSince(std::uint64_t change) const;
   /// Removes runs that have been unlisted for kRetention.
   /// @param freshFor how long the list has been known to be fresh since the last call.
--- a/src/fleet/named_weights.h
+++ b/src/fleet/named_weights.h
@@ -7,7 +7,7 @@
 
 namespace calicodrift::fleet {
 
-/// A weights version that was named as a target, and the age of that naming as known to one node.
+/// A weights version that was named, and the age of that naming as known to one node.
 struct WeightsNaming {
   WeightsVersion weights;
   Milliseconds age{0};
--- a/src/fleet/track.h
+++ b/src/fleet/track.h
@@ -5,7 +5,7 @@
 
 namespace calicodrift::fleet {
 
-/// Release track of a version of a service while a rollout order is in progress.
+/// Distinguishes the two versions of a service while a rollout order is in progress.
 enum class Track : std::uint8_t { kStable, kCandidate };
 inline constexpr std::size_t kTracks = 2;
 
