--- a/src/claims/claim_key.cc
+++ b/src/claims/claim_key.cc
@@ -17,18 +17,18 @@
 constexpr std::uint64_t kVariantMask = 0xC000'0000'0000'0000;
 constexpr std::uint64_t kVariantStandard = 0x8000'0000'0000'0000;
 constexpr std::size_t kUuidTextLength = 36;
-constexpr std::size_t kHalfBytes = 8;
+constexpr std::size_t kUint64Bytes = 8;
 
-std::uint64_t bigEndian(const std::uint8_t* bytes) {
+std::uint64_t readBigEndian(const std::uint8_t* bytes) {
   std::uint64_t value = 0;
-  for (std::size_t index = 0; index < kHalfBytes; ++index) {
+  for (std::size_t index = 0; index < kUint64Bytes; ++index) {
     value = (value << 8U) | bytes[index];
   }
   return value;
 }
 
-void putBigEndian(std::uint64_t value, std::uint8_t* bytes) {
-  for (std::size_t index = kHalfBytes; index > 0; --index) {
+void writeBigEndian(std::uint64_t value, std::uint8_t* bytes) {
+  for (std::size_t index = kUint64Bytes; index > 0; --index) {
     bytes[index - 1] = static_cast<std::uint8_t>(value & 0xFFU);
     value >>= 8U;
   }
@@ -46,7 +46,7 @@
 
 Result<ClaimKey> parseClaimKey(const TenantId& tenant, std::string_view text) {
   const Error invalid = fail(ErrorKind::kIdempotencyKeyInvalid,
-                             "the Idempotency-Key of a not-repeatable request must be a UUIDv7");
+                             "the Idempotency-Key of a non-repeatable request must be a UUIDv7");
   if (text.size() != kUuidTextLength) {
     return invalid;
   }
@@ -56,7 +56,7 @@
   } catch (const std::exception&) {
     return invalid;
   }
-  const ClaimKey key{bigEndian(uuid.data), bigEndian(uuid.data + kHalfBytes),
+  const ClaimKey key{readBigEndian(uuid.data), readBigEndian(uuid.data + kUint64Bytes),
                      hashBytes(tenant.value())};
   const bool versionSeven =
       (key.high & kVersionMask) == kVersionSeven && (key.low & kVariantMask) == kVariantStandard;
@@ -70,8 +70,8 @@
   const std::uint64_t high = (time << kTimeShift) | kVersionSeven | (randomHigh & kRandomHighMask);
   const std::uint64_t low = kVariantStandard | (randomLow & ~kVariantMask);
   boost::uuids::uuid uuid{};
-  putBigEndian(high, uuid.data);
-  putBigEndian(low, uuid.data + kHalfBytes);
+  writeBigEndian(high, uuid.data);
+  writeBigEndian(low, uuid.data + kUint64Bytes);
   return boost::uuids::to_string(uuid);
 }
 
--- a/src/claims/claim_messages.h
+++ b/src/claims/claim_messages.h
@@ -13,17 +13,18 @@
 #include "common/ids.h"
 #include "peer/codec.h"
 
-/// Messages on Channel::kClaims. Every one may be lost, doubled, late or out of order.
+/// Messages on Channel::kClaims. The transport may lose, duplicate, delay or reorder any of them.
 namespace calicodrift::claims {
 
-/// Longest answer body that a record keeps; of a longer one only the fact is kept.
+/// Maximum response body that a record stores, in bytes. Of a longer body, only the fact that the
+/// request completed is stored.
 inline constexpr std::size_t kMaxStoredBodyBytes = 900;
 
-/// How a claimed request ended.
+/// Stored response of a claimed request.
 struct StoredOutcome {
   std::uint32_t status = 0;
   std::string contentType;
-  /// False where the body was too long to keep.
+  /// False if the body exceeded kMaxStoredBodyBytes and was not stored.
   bool bodyKept = false;
   std::string body;
 
@@ -33,22 +34,22 @@
   }
 };
 
-/// What a replica says to a claim.
+/// A replica's vote on a claim.
 enum class Vote : std::uint8_t {
   kAccepted,
-  /// Another attempt holds the key; `holder` names it.
+  /// Another attempt, identified by `holder`, holds the key.
   kHeldByOther,
-  /// Another attempt ran the request; `outcome` tells how it ended.
+  /// Another attempt ran the request; `outcome` is its stored response.
   kCompleted,
-  /// The replica can't know whether it voted for another attempt in an earlier life.
+  /// The replica cannot rule out that it voted for another attempt before it restarted.
   kAbstained,
-  /// The replica knows of no attempt, but has no memory left for this one.
+  /// The replica knows of no attempt but has reached its record limit.
   kFull,
   kKeyTooOld,
   kKeyFromFuture,
-  /// The claim's epoch is not the replica's; `epoch` tells which that is.
+  /// The epoch of the claim differs from the replica's epoch, which is in `epoch`.
   kOtherEpoch,
-  /// This attempt had been given up before.
+  /// This attempt was released earlier.
   kGivenUp,
 };
 
@@ -64,7 +65,7 @@
 };
 
 struct ClaimReply {
-  /// Epoch of the replica.
+  /// Current epoch of the replica.
   Epoch epoch;
   NodeId replica;
   ClaimKey key;
@@ -79,7 +80,7 @@
   }
 };
 
-/// The attempt was given up without a dispatch and never will dispatch.
+/// The attempt ended without a dispatch and will never dispatch.
 struct ReleaseNotice {
   ClaimKey key;
   AttemptToken token;
@@ -90,7 +91,7 @@
   }
 };
 
-/// The attempt's request ran and was answered.
+/// The request of the attempt ran and received a response.
 struct CompletedNotice {
   ClaimKey key;
   AttemptToken token;
@@ -102,7 +103,7 @@
   }
 };
 
-/// Asks for the receiver's view if it is of a later epoch.
+/// Requests the receiver's view if its epoch is later than `known`.
 struct ViewRequest {
   Epoch known;
 
@@ -121,36 +122,38 @@
   }
 };
 
-/// Asks where the receiver stands, to become a voter or to find a view established.
+/// Requests the receiver's epoch and voting state, so that the sender can become a voter or learn
+/// that a view is established.
 struct JoinRequest {
   Epoch epoch;
   NodeId node;
-  /// Life of the sending process: its wall clock time at the start.
-  Incarnation life;
-  /// The sender could not read the object API since its start.
-  bool wantsVouch = false;
+  /// Incarnation of the sending process: its wall clock time at startup.
+  Incarnation incarnation;
+  /// The sender has not been able to read the object API since it started.
+  bool needsConfirmation = false;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(epoch, node, life, wantsVouch);
+    archive(epoch, node, incarnation, needsConfirmation);
   }
 };
 
 struct JoinReply {
   Epoch epoch;
   NodeId node;
-  Incarnation life;
-  /// Life of the node that asked.
-  Incarnation asked;
+  Incarnation incarnation;
+  /// Incarnation of the node that sent the JoinRequest.
+  Incarnation requesterIncarnation;
   bool established = false;
-  /// Bit g is set where the node votes in group g at `epoch`.
+  /// Bit g is set if the node votes in group g at `epoch`.
   std::uint64_t voterGroups = 0;
-  /// Lives that the node has ever vouched for; replies of older ones are void.
-  std::vector<std::pair<NodeId, Incarnation>> vouched;
+  /// Incarnations that the node has ever confirmed. Replies from earlier incarnations of the same
+  /// node are invalid.
+  std::vector<std::pair<NodeId, Incarnation>> confirmed;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(epoch, node, life, asked, established, voterGroups, vouched);
+    archive(epoch, node, incarnation, requesterIncarnation, established, voterGroups, confirmed);
   }
 };
 
--- a/src/claims/claim_node.cc
+++ b/src/claims/claim_node.cc
@@ -23,13 +23,13 @@
       metrics_(metrics),
       clock_(std::move(clock)),
       replica_(settings_),
-      views_(
+      viewAgent_(
           settings_, directory, store,
           [this](const Endpoint& to, const ClaimMessage& message) { send(to, message); },
-          [this](std::size_t group, ClaimTime now) { replica_.startMemory(group, now.wall); },
+          [this](std::size_t group, ClaimTime now) { replica_.startVoteHistory(group, now.wall); },
           clock_()),
       proposer_(
-          settings_, views_,
+          settings_, viewAgent_,
           [this](const Endpoint& to, const ClaimMessage& message) { send(to, message); }, seed) {
   transport_.setReceiver(
       peer::Channel::kClaims,
@@ -38,10 +38,10 @@
 
 void ClaimNode::tick() {
   const ClaimTime now = clock_();
-  views_.tick(now);
+  viewAgent_.tick(now);
   proposer_.tick(now);
   replica_.prune(now.wall);
-  deliverLocal();
+  deliverLocalMessages();
   metrics_.setState(view(), votingGroups(), records());
 }
 
@@ -51,22 +51,22 @@
     done(result);
   };
   proposer_.claim(key, clock_(), std::move(counted));
-  deliverLocal();
+  deliverLocalMessages();
 }
 
 void ClaimNode::complete(const ClaimKey& key, AttemptToken token, StoredOutcome outcome) {
   proposer_.complete(key, token, std::move(outcome), clock_());
-  deliverLocal();
+  deliverLocalMessages();
 }
 
 void ClaimNode::release(const ClaimKey& key, AttemptToken token) {
   proposer_.release(key, token, clock_());
-  deliverLocal();
+  deliverLocalMessages();
 }
 
 void ClaimNode::send(const Endpoint& to, const ClaimMessage& message) {
   if (to == directory_.self().endpoint) {
-    local_.push_back(message);
+    localMessages_.push_back(message);
     return;
   }
   transport_.send(to, peer::Channel::kClaims, peer::encode(message));
@@ -79,17 +79,17 @@
     return;
   }
   dispatch(from, message.value());
-  deliverLocal();
+  deliverLocalMessages();
 }
 
-void ClaimNode::deliverLocal() {
+void ClaimNode::deliverLocalMessages() {
   if (delivering_) {
     return;
   }
   delivering_ = true;
-  while (!local_.empty()) {
-    const ClaimMessage message = std::move(local_.front());
-    local_.pop_front();
+  while (!localMessages_.empty()) {
+    const ClaimMessage message = std::move(localMessages_.front());
+    localMessages_.pop_front();
     dispatch(directory_.self().endpoint, message);
   }
   delivering_ = false;
@@ -99,21 +99,21 @@
   const ClaimTime now = clock_();
   const Overloaded handlers{
       [&](const ClaimRequest& request) {
-        views_.noticeEpoch(from, request.epoch);
+        viewAgent_.observeEpoch(from, request.epoch);
         const ClaimReply reply = voteOn(request);
         metrics_.countVote(reply.vote);
         send(from, reply);
       },
       [&](const ClaimReply& reply) {
-        views_.noticeEpoch(from, reply.epoch);
+        viewAgent_.observeEpoch(from, reply.epoch);
         proposer_.handle(reply, now);
       },
       [&](const ReleaseNotice& notice) { replica_.release(notice); },
       [&](const CompletedNotice& notice) { replica_.complete(notice, now.wall); },
-      [&](const ViewRequest& request) { views_.handle(from, request); },
-      [&](const ViewNotice& notice) { views_.handle(from, notice, now); },
-      [&](const JoinRequest& request) { views_.handle(from, request, now); },
-      [&](const JoinReply& reply) { views_.handle(from, reply, now); },
+      [&](const ViewRequest& request) { viewAgent_.handle(from, request); },
+      [&](const ViewNotice& notice) { viewAgent_.handle(from, notice, now); },
+      [&](const JoinRequest& request) { viewAgent_.handle(from, request, now); },
+      [&](const JoinReply& reply) { viewAgent_.handle(from, reply, now); },
   };
   std::visit(handlers, message);
 }
@@ -122,15 +122,15 @@
   ClaimReply reply;
   reply.key = request.key;
   reply.token = request.token;
-  const bool otherEpoch = request.epoch != views_.epoch() && settings_.rules.checkEpoch;
+  const bool otherEpoch = request.epoch != viewAgent_.epoch() && settings_.rules.checkEpoch;
   if (otherEpoch) {
     reply.vote = Vote::kOtherEpoch;
-  } else if (!views_.votes(request.key.group())) {
+  } else if (!viewAgent_.votes(request.key.group())) {
     reply.vote = Vote::kAbstained;
   } else {
     reply = replica_.vote(request, clock_().wall);
   }
-  reply.epoch = views_.epoch();
+  reply.epoch = viewAgent_.epoch();
   reply.replica = directory_.self().id;
   return reply;
 }
--- a/src/claims/claim_node.h
+++ b/src/claims/claim_node.h
@@ -11,38 +11,38 @@
 
 namespace calicodrift::claims {
 
-/// The claims module of one node: replica, view agent and proposer over one transport channel.
-/// Without I/O of its own; used on one thread.
+/// Claims module of one node: replica, view agent and proposer over one transport channel. Performs
+/// no I/O of its own and is not thread-safe.
 class ClaimNode {
  public:
   using Clock = std::function<ClaimTime()>;
 
-  /// @param seed makes attempt tokens unique; differs in every life of every node.
+  /// @param seed makes attempt tokens unique; must differ for every node and every process start.
   ClaimNode(const ClaimSettings& settings, peer::Transport& transport,
             const peer::PeerDirectory& directory, ViewStore& store, ClaimMetrics& metrics,
             Clock clock, std::uint64_t seed);
   ClaimNode(const ClaimNode&) = delete;
   ClaimNode& operator=(const ClaimNode&) = delete;
 
-  /// To be called every few milliseconds.
+  /// Drives timeouts and retransmissions; must be called every few milliseconds.
   void tick();
-  /// Calls `done` once, within the claim time-out, from tick() or from a message's receipt, or at
-  /// once.
+  /// Calls `done` exactly once, within the claim timeout: synchronously, from tick() or when a
+  /// message is received.
   void claim(const ClaimKey& key, ClaimProposer::Done done);
   void complete(const ClaimKey& key, AttemptToken token, StoredOutcome outcome);
   void release(const ClaimKey& key, AttemptToken token);
 
-  const ClaimView& view() const { return views_.view(); }
-  std::size_t votingGroups() const { return views_.votingGroups(); }
+  const ClaimView& view() const { return viewAgent_.view(); }
+  std::size_t votingGroups() const { return viewAgent_.votingGroups(); }
   std::size_t records() const { return replica_.records(); }
 
  private:
   void send(const Endpoint& to, const ClaimMessage& message);
   void receive(const Endpoint& from, std::string_view payload);
   void dispatch(const Endpoint& from, const ClaimMessage& message);
-  /// Handles what this node has sent to itself; not within send(), so that no handler is
-  /// re-entered.
-  void deliverLocal();
+  /// Handles the messages that this node has sent to itself. Not called from send(), so that
+  /// message handlers are not re-entered.
+  void deliverLocalMessages();
   ClaimReply voteOn(const ClaimRequest& request);
 
   const ClaimSettings settings_;
@@ -51,9 +51,9 @@
   ClaimMetrics& metrics_;
   Clock clock_;
   ClaimReplica replica_;
-  ViewAgent views_;
+  ViewAgent viewAgent_;
   ClaimProposer proposer_;
-  std::deque<ClaimMessage> local_;
+  std::deque<ClaimMessage> localMessages_;
   bool delivering_ = false;
 };
 
--- a/src/claims/claim_proposer.cc
+++ b/src/claims/claim_proposer.cc
@@ -5,7 +5,7 @@
 namespace calicodrift::claims {
 namespace {
 
-constexpr int kNoticeRepeats = 3;
+constexpr int kNoticeSends = 3;
 
 bool undecided(Vote vote) {
   return vote == Vote::kOtherEpoch;
@@ -35,7 +35,7 @@
 
 ClaimProposer::ClaimProposer(const ClaimSettings& settings, const ViewAgent& views, Sender sender,
                              std::uint64_t seed)
-    : settings_(settings), views_(views), sender_(std::move(sender)), random_(seed) {}
+    : settings_(settings), viewAgent_(views), sender_(std::move(sender)), random_(seed) {}
 
 void ClaimProposer::claim(const ClaimKey& key, ClaimTime now, Done done) {
   const auto bound = static_cast<WallMilliseconds>(settings_.clockBound.count());
@@ -46,7 +46,8 @@
     done(refusal);
     return;
   }
-  // A replica accepts a lead of one bound over its clock, which may lead ours by another.
+  // A replica accepts keys up to one clock bound ahead of its clock, which may itself be one bound
+  // ahead of the local clock.
   if (key.time() > now.wall + 2 * bound) {
     refusal.verdict = ClaimVerdict::kKeyFromFuture;
     done(refusal);
@@ -62,26 +63,26 @@
 
 void ClaimProposer::send(const AttemptToken& token, AttemptState& attempt, ClaimTime now) {
   attempt.lastSent = now.monotonic;
-  if (attempt.epoch != views_.epoch()) {
-    // Votes of different epochs never add up.
+  if (attempt.epoch != viewAgent_.epoch()) {
+    // Votes from different epochs must not be added up.
     attempt.votes.clear();
-    attempt.epoch = views_.epoch();
+    attempt.epoch = viewAgent_.epoch();
   }
   const ClaimRequest request{attempt.epoch, attempt.key, token};
-  for (const std::size_t index : views_.replicas(attempt.key.group())) {
-    const ViewMember& member = views_.view().members[index];
+  for (const std::size_t index : viewAgent_.replicas(attempt.key.group())) {
+    const ViewMember& member = viewAgent_.view().members[index];
     const auto vote = attempt.votes.find(member.id);
     if (vote == attempt.votes.end() || vote->second.vote != Vote::kAccepted) {
-      sender_(views_.endpointOf(member), request);
+      sender_(viewAgent_.endpointOf(member), request);
     }
   }
 }
 
 void ClaimProposer::handle(const ClaimReply& reply, ClaimTime now) {
   const auto attempt = attempts_.find(reply.token);
-  const bool counts = attempt != attempts_.end() && attempt->second.key == reply.key &&
-                      (reply.epoch == attempt->second.epoch || !settings_.rules.checkEpoch);
-  if (!counts) {
+  const bool relevant = attempt != attempts_.end() && attempt->second.key == reply.key &&
+                        (reply.epoch == attempt->second.epoch || !settings_.rules.checkEpoch);
+  if (!relevant) {
     return;
   }
   attempt->second.votes[reply.replica] = reply;
@@ -93,16 +94,17 @@
 ClaimProposer::Tally ClaimProposer::tally(const AttemptToken& token,
                                           const AttemptState& attempt) const {
   Tally tally;
-  if (attempt.epoch != views_.epoch()) {
-    // The replica set of these votes is no longer at hand: wait for the next round.
-    tally.majority = kReplicasOfGroup;
-    tally.undecided = kReplicasOfGroup;
+  if (attempt.epoch != viewAgent_.epoch()) {
+    // The replica set that these votes belong to is no longer available; the next round resends the
+    // claim.
+    tally.majority = kReplicasPerGroup;
+    tally.undecided = kReplicasPerGroup;
     return tally;
   }
-  const ReplicaSet& replicas = views_.replicas(attempt.key.group());
+  const ReplicaSet& replicas = viewAgent_.replicas(attempt.key.group());
   tally.majority = majorityOf(replicas.size());
   for (const std::size_t index : replicas) {
-    const auto found = attempt.votes.find(views_.view().members[index].id);
+    const auto found = attempt.votes.find(viewAgent_.view().members[index].id);
     if (found == attempt.votes.end() || undecided(found->second.vote)) {
       ++tally.undecided;
       continue;
@@ -133,15 +135,15 @@
     return ClaimVerdict::kKeyTooOld;
   }
   const bool majorityPossible = tally.accepted + tally.undecided >= tally.majority;
-  // The earlier of two attempts that split the votes waits for the other one's release.
+  // If two attempts split the votes, the earlier one waits for the later one to be released.
   const bool waitsForRelease = tally.held && !tally.heldByEarlier;
   if (majorityPossible || waitsForRelease) {
     return std::nullopt;
   }
-  return verdictAtEnd(tally);
+  return finalVerdict(tally);
 }
 
-ClaimVerdict ClaimProposer::verdictAtEnd(const Tally& tally) const {
+ClaimVerdict ClaimProposer::finalVerdict(const Tally& tally) const {
   if (tally.held) {
     return ClaimVerdict::kInProgress;
   }
@@ -170,21 +172,21 @@
 
 void ClaimProposer::complete(const ClaimKey& key, AttemptToken token, StoredOutcome outcome,
                              ClaimTime now) {
-  notify(CompletedNotice{key, token, std::move(outcome)}, key, now);
+  sendNotice(CompletedNotice{key, token, std::move(outcome)}, key, now);
 }
 
 void ClaimProposer::release(const ClaimKey& key, AttemptToken token, ClaimTime now) {
-  notify(ReleaseNotice{key, token}, key, now);
+  sendNotice(ReleaseNotice{key, token}, key, now);
 }
 
-void ClaimProposer::notify(const ClaimMessage& message, const ClaimKey& key, ClaimTime now) {
+void ClaimProposer::sendNotice(const ClaimMessage& message, const ClaimKey& key, ClaimTime now) {
   sendToReplicas(message, key);
-  notices_.push_back({message, key, kNoticeRepeats - 1, now.monotonic + settings_.claimRetransmit});
+  notices_.push_back({message, key, kNoticeSends - 1, now.monotonic + settings_.claimRetransmit});
 }
 
 void ClaimProposer::sendToReplicas(const ClaimMessage& message, const ClaimKey& key) {
-  for (const std::size_t index : views_.replicas(key.group())) {
-    sender_(views_.endpointOf(views_.view().members[index]), message);
+  for (const std::size_t index : viewAgent_.replicas(key.group())) {
+    sender_(viewAgent_.endpointOf(viewAgent_.view().members[index]), message);
   }
 }
 
@@ -194,7 +196,7 @@
     AttemptState& state = attempt->second;
     const Tally votes = tally(attempt->first, state);
     if (now.monotonic - state.begin >= settings_.claimTimeout) {
-      finish(attempt, verdictAtEnd(votes), now);
+      finish(attempt, finalVerdict(votes), now);
     } else if (now.monotonic - state.lastSent >= settings_.claimRetransmit) {
       if (votes.heldByEarlier) {
         finish(attempt, ClaimVerdict::kInProgress, now);
@@ -207,11 +209,11 @@
   for (RepeatedNotice& notice : notices_) {
     if (now.monotonic >= notice.nextTime) {
       sendToReplicas(notice.message, notice.key);
-      --notice.timesLeft;
+      --notice.remainingSends;
       notice.nextTime = now.monotonic + settings_.claimRetransmit;
     }
   }
-  std::erase_if(notices_, [](const RepeatedNotice& notice) { return notice.timesLeft <= 0; });
+  std::erase_if(notices_, [](const RepeatedNotice& notice) { return notice.remainingSends <= 0; });
 }
 
 }  // namespace calicodrift::claims
--- a/src/claims/claim_proposer.h
+++ b/src/claims/claim_proposer.h
@@ -12,20 +12,20 @@
 
 namespace calicodrift::claims {
 
-/// How an attempt to claim a key ended.
+/// Result of an attempt to claim a key.
 enum class ClaimVerdict : std::uint8_t {
-  /// A majority of one epoch's replicas voted for this attempt: it alone may dispatch.
+  /// A majority of one epoch's replicas voted for this attempt. No other attempt may dispatch.
   kGranted,
-  /// Another attempt holds the key and may be running.
+  /// Another attempt holds the key and its request may be running.
   kInProgress,
-  /// Another attempt ran the request.
+  /// Another attempt has already run the request.
   kCompleted,
   kKeyTooOld,
-  /// The key's time is so far ahead that no replica can have accepted it.
+  /// The timestamp of the key is so far ahead that no replica can have accepted it.
   kKeyFromFuture,
-  /// A majority knows of no attempt, but has no memory for this one: certainly not run.
+  /// A majority knows of no attempt but is at its record limit. The request has certainly not run.
   kMemoryFull,
-  /// No majority answered or could vote; an earlier attempt can't be ruled out.
+  /// No majority replied or could vote, so an earlier attempt cannot be ruled out.
   kUnavailable,
 };
 std::string_view toString(ClaimVerdict verdict);
@@ -33,12 +33,13 @@
 struct ClaimResult {
   ClaimVerdict verdict = ClaimVerdict::kUnavailable;
   AttemptToken token;
-  /// With kCompleted.
+  /// Stored response; set only if the verdict is kCompleted.
   std::optional<StoredOutcome> outcome;
 };
 
-/// Claims keys for this node's requests. Each attempt has a token of its own, is decided once, and
-/// is released everywhere unless it was granted; so an attempt that gave up never dispatches.
+/// Claims keys for this node's requests. Each attempt has its own token, is decided once, and is
+/// released on all replicas unless it was granted, so an attempt that was not granted never
+/// dispatches.
 class ClaimProposer {
  public:
   using Done = std::function<void(const ClaimResult&)>;
@@ -47,11 +48,12 @@
   ClaimProposer(const ClaimSettings& settings, const ViewAgent& views, Sender sender,
                 std::uint64_t seed);
 
-  /// Calls `done` once, within the claim time-out.
+  /// Calls `done` exactly once, within the claim timeout.
   void claim(const ClaimKey& key, ClaimTime now, Done done);
-  /// The granted attempt's request ran and was answered.
+  /// Reports that the request of a granted attempt ran and received a response.
   void complete(const ClaimKey& key, AttemptToken token, StoredOutcome outcome, ClaimTime now);
-  /// The granted attempt certainly did not run and will not: another may.
+  /// Reports that the request of a granted attempt did not run and will not run, so another attempt
+  /// may claim the key.
   void release(const ClaimKey& key, AttemptToken token, ClaimTime now);
   void handle(const ClaimReply& reply, ClaimTime now);
   void tick(ClaimTime now);
@@ -63,7 +65,7 @@
     MonotonicTime begin;
     MonotonicTime lastSent;
     Epoch epoch;
-    /// Votes in `epoch`, the latest of each replica.
+    /// Latest vote of each replica in `epoch`.
     std::map<NodeId, ClaimReply> votes;
     Done done;
   };
@@ -77,26 +79,26 @@
     bool tooOld = false;
     const ClaimReply* completed = nullptr;
   };
-  /// A notice that is sent several times, as none is acknowledged.
+  /// A notice that is sent several times because notices are not acknowledged.
   struct RepeatedNotice {
     ClaimMessage message;
     ClaimKey key;
-    int timesLeft = 0;
+    int remainingSends = 0;
     MonotonicTime nextTime;
   };
   using Attempts = std::map<AttemptToken, AttemptState>;
 
   void send(const AttemptToken& token, AttemptState& attempt, ClaimTime now);
   Tally tally(const AttemptToken& token, const AttemptState& attempt) const;
-  /// The verdict that the votes allow now; nothing while more votes may change it.
+  /// Verdict determined by the votes so far, or nullopt while further votes may change it.
   std::optional<ClaimVerdict> decide(const Tally& tally) const;
-  ClaimVerdict verdictAtEnd(const Tally& tally) const;
+  ClaimVerdict finalVerdict(const Tally& tally) const;
   void finish(Attempts::iterator attempt, ClaimVerdict verdict, ClaimTime now);
-  void notify(const ClaimMessage& message, const ClaimKey& key, ClaimTime now);
+  void sendNotice(const ClaimMessage& message, const ClaimKey& key, ClaimTime now);
   void sendToReplicas(const ClaimMessage& message, const ClaimKey& key);
 
   const ClaimSettings& settings_;
-  const ViewAgent& views_;
+  const ViewAgent& viewAgent_;
   Sender sender_;
   std::mt19937_64 random_;
   Attempts attempts_;
--- a/src/claims/claim_replica.cc
+++ b/src/claims/claim_replica.cc
@@ -5,18 +5,18 @@
 namespace calicodrift::claims {
 namespace {
 
-WallMilliseconds wallOf(Milliseconds duration) {
+WallMilliseconds toWallMilliseconds(Milliseconds duration) {
   return static_cast<WallMilliseconds>(duration.count());
 }
 
 }  // namespace
 
-void ClaimReplica::startMemory(std::size_t group, WallMilliseconds now) {
-  memoryStart_.at(group) = advance(now);
+void ClaimReplica::startVoteHistory(std::size_t group, WallMilliseconds now) {
+  voteHistoryStart_.at(group) = advanceClock(now);
 }
 
 ClaimReply ClaimReplica::vote(const ClaimRequest& request, WallMilliseconds now) {
-  const WallMilliseconds time = advance(now);
+  const WallMilliseconds time = advanceClock(now);
   ClaimReply reply;
   reply.key = request.key;
   reply.token = request.token;
@@ -32,7 +32,7 @@
   Record& record = found->second;
   reply.holder = record.holder;
   if (record.holder == request.token) {
-    reply.vote = voteAgain(request.key, record);
+    reply.vote = repeatVote(request.key, record);
     return reply;
   }
   switch (record.state) {
@@ -50,20 +50,21 @@
   return reply;
 }
 
-Vote ClaimReplica::voteAgain(const ClaimKey& key, const Record& record) const {
+Vote ClaimReplica::repeatVote(const ClaimKey& key, const Record& record) const {
   if (record.state == State::kReleased) {
     return Vote::kGivenUp;
   }
-  // A vote from before the memory began belongs to an epoch whose other votes are not known here.
-  const bool stale = settings_.rules.abstainAfterRestart && beforeMemory(key);
+  // A vote cast before the vote history began belongs to an epoch whose other votes are not known
+  // here.
+  const bool stale = settings_.rules.abstainAfterRestart && mayPrecedeVoteHistory(key);
   return stale ? Vote::kAbstained : Vote::kAccepted;
 }
 
 Vote ClaimReplica::voteOnNewAttempt(const ClaimRequest& request, WallMilliseconds now) {
-  if (request.key.time() > now + wallOf(settings_.clockBound)) {
+  if (request.key.time() > now + toWallMilliseconds(settings_.clockBound)) {
     return Vote::kKeyFromFuture;
   }
-  if (settings_.rules.abstainAfterRestart && beforeMemory(request.key)) {
+  if (settings_.rules.abstainAfterRestart && mayPrecedeVoteHistory(request.key)) {
     return Vote::kAbstained;
   }
   const bool known = records_.contains(request.key);
@@ -83,7 +84,7 @@
 }
 
 void ClaimReplica::complete(const CompletedNotice& notice, WallMilliseconds now) {
-  const WallMilliseconds time = advance(now);
+  const WallMilliseconds time = advanceClock(now);
   const bool known = records_.contains(notice.key);
   const bool room = known || records_.size() < settings_.maxRecords;
   if (tooOld(notice.key, time) || !room) {
@@ -96,23 +97,24 @@
 }
 
 void ClaimReplica::prune(WallMilliseconds now) {
-  const WallMilliseconds time = advance(now);
+  const WallMilliseconds time = advanceClock(now);
   while (!records_.empty() && tooOld(records_.begin()->first, time)) {
     records_.erase(records_.begin());
   }
 }
 
-WallMilliseconds ClaimReplica::advance(WallMilliseconds now) {
+WallMilliseconds ClaimReplica::advanceClock(WallMilliseconds now) {
   latest_ = std::max(latest_, now);
   return latest_;
 }
 
 bool ClaimReplica::tooOld(const ClaimKey& key, WallMilliseconds now) const {
-  return key.time() + wallOf(settings_.retention) <= now;
+  return key.time() + toWallMilliseconds(settings_.retention) <= now;
 }
 
-bool ClaimReplica::beforeMemory(const ClaimKey& key) const {
-  return key.time() <= memoryStart_.at(key.group()) + 2 * wallOf(settings_.clockBound);
+bool ClaimReplica::mayPrecedeVoteHistory(const ClaimKey& key) const {
+  return key.time() <=
+         voteHistoryStart_.at(key.group()) + 2 * toWallMilliseconds(settings_.clockBound);
 }
 
 }  // namespace calicodrift::claims
--- a/src/claims/claim_replica.h
+++ b/src/claims/claim_replica.h
@@ -12,28 +12,29 @@
 
 namespace calicodrift::claims {
 
-/// The claims that one node has voted for, in memory.
+/// In-memory store of the claims that one node has voted for.
 ///
-/// Invariant: within one life of the process, no key gets this replica's vote for two attempts,
-/// unless the earlier one said that it never dispatched. Why it holds: a vote is recorded before it
-/// is sent, and a record is dropped only once its key is older than the retention, on a clock that
-/// never goes back here; from then on the key itself is refused.
+/// Invariant: within one incarnation of the process, this replica never votes for two attempts on
+/// the same key, unless the earlier attempt reported that it never dispatched. A vote is recorded
+/// before it is sent, and a record is dropped only once its key is older than the retention on a
+/// clock that never goes backwards here. From then on the key itself is refused.
 ///
-/// Across a restart: a vote of an earlier life was for a key whose time led that life's clock by
-/// the clock bound at most, and that clock led this one's by the bound at most. So a key later than
-/// `memoryStart` + 2 bounds can't have been voted on before, and on others the replica abstains.
+/// Across a restart: a vote of an earlier incarnation was for a key at most one clock bound ahead
+/// of that incarnation's clock, which was at most one bound ahead of the current clock. A key later
+/// than `voteHistoryStart` + 2 clock bounds therefore cannot have been voted on before; the replica
+/// abstains on all other keys.
 class ClaimReplica {
  public:
   explicit ClaimReplica(const ClaimSettings& settings) : settings_(settings) {}
 
-  /// From when on this replica's memory of the group's votes is whole.
-  void startMemory(std::size_t group, WallMilliseconds now);
-  /// Votes on a claim; the reply lacks only the replica's epoch and name.
+  /// Declares that the replica's history of votes in `group` is complete from `now` on.
+  void startVoteHistory(std::size_t group, WallMilliseconds now);
+  /// Votes on a claim. The caller sets the epoch and the replica id of the reply.
   ClaimReply vote(const ClaimRequest& request, WallMilliseconds now);
-  /// The attempt never dispatched: the key is free for another attempt. A late copy of the
-  /// attempt's own claim stays refused.
+  /// Frees the key of an attempt that never dispatched, so that another attempt may claim it.
+  /// Delayed copies of the released attempt's own claim stay refused.
   void release(const ReleaseNotice& notice);
-  /// Facts may be recorded whatever the replica's own state.
+  /// Records the outcome of a request. Allowed even if this replica does not vote.
   void complete(const CompletedNotice& notice, WallMilliseconds now);
   /// Drops the records of keys older than the retention.
   void prune(WallMilliseconds now);
@@ -48,17 +49,18 @@
     std::unique_ptr<StoredOutcome> outcome;
   };
 
-  /// The latest time seen: a clock that is set back doesn't bring old keys back.
-  WallMilliseconds advance(WallMilliseconds now);
+  /// Returns the latest wall time seen. If the clock is set back, expired keys do not become valid
+  /// again.
+  WallMilliseconds advanceClock(WallMilliseconds now);
   bool tooOld(const ClaimKey& key, WallMilliseconds now) const;
-  bool beforeMemory(const ClaimKey& key) const;
-  Vote voteAgain(const ClaimKey& key, const Record& record) const;
+  bool mayPrecedeVoteHistory(const ClaimKey& key) const;
+  Vote repeatVote(const ClaimKey& key, const Record& record) const;
   Vote voteOnNewAttempt(const ClaimRequest& request, WallMilliseconds now);
 
   const ClaimSettings& settings_;
   WallMilliseconds latest_ = 0;
-  std::array<WallMilliseconds, kGroupCount> memoryStart_{};
-  /// Ordered by key, and so by the key's time.
+  std::array<WallMilliseconds, kGroupCount> voteHistoryStart_{};
+  /// Ordered by key and therefore by the timestamp of the key.
   std::map<ClaimKey, Record> records_;
 };
 
--- a/src/claims/claim_settings.h
+++ b/src/claims/claim_settings.h
@@ -6,41 +6,43 @@
 
 namespace calicodrift::claims {
 
-/// The rules that at-most-once rests on. Always all on in a node; the tests of the protocol switch
-/// one off at a time, to show that they find the second run which it prevents.
+/// Rules that at-most-once execution depends on. All are enabled in production. The protocol tests
+/// disable one at a time to show that they detect the duplicate execution that the rule prevents.
 struct SafetyRules {
-  /// A replica abstains on keys that it may have voted on before its memory began.
+  /// A replica abstains on keys that it may have voted on before its vote history began.
   bool abstainAfterRestart = true;
-  /// A new epoch's replicas wait until the epoch before can form no majority.
-  bool sealEarlierEpoch = true;
-  /// Votes count only within one epoch, the replica's own.
+  /// Replicas of a new epoch vote only once the previous epoch can no longer form a majority.
+  bool sealPreviousEpoch = true;
+  /// A vote counts only if the claim and the replica are in the same epoch.
   bool checkEpoch = true;
-  /// A restarted node votes only once it can't be reviving an epoch that it had left.
-  bool provePresentEpoch = true;
+  /// A restarted node votes only once it is proven not to revive an epoch that it had left.
+  bool proveCurrentEpoch = true;
 };
 
 struct ClaimSettings {
-  /// Bound on the difference between any two clocks, and on how far a key may lead a clock.
+  /// Maximum difference between any two clocks, and maximum time by which a key may be ahead of a
+  /// clock.
   Milliseconds clockBound{500};
-  /// For how long after its time a key is known; older keys are refused.
+  /// How long after its timestamp a key is accepted; older keys are refused.
   Milliseconds retention{600'000};
-  /// Longest time that a request waits for its claim.
+  /// Maximum time that a request waits for its claim to be decided.
   Milliseconds claimTimeout{300};
   Milliseconds claimRetransmit{40};
-  /// Records that one replica keeps; it accepts no claim beyond them.
+  /// Maximum number of records of one replica; it accepts no new claims beyond that.
   std::size_t maxRecords = 200'000;
-  /// For how long the alive nodes must differ from the view before a new one is written.
+  /// How long the set of alive nodes must differ from the view before a new view is written.
   Milliseconds viewChangeDelay{3000};
-  /// Pause between two uses of the object API.
-  Milliseconds storePause{200};
+  /// Minimum interval between two accesses to the object API.
+  Milliseconds storeInterval{200};
   Milliseconds joinInterval{100};
   SafetyRules rules;
 };
 
-/// One reading of both clocks. The wall clock may jump; see ClaimReplica for what that may do.
+/// A simultaneous reading of the monotonic and the wall clock. The wall clock may jump; see
+/// ClaimReplica for the consequences.
 struct ClaimTime {
   MonotonicTime monotonic;
-  /// Milliseconds since 1970.
+  /// Milliseconds since the Unix epoch.
   std::uint64_t wall = 0;
 };
 
--- a/src/claims/claim_view.cc
+++ b/src/claims/claim_view.cc
@@ -45,7 +45,7 @@
     for (const auto& [rank, index] : ranked) {
       const bool taken = std::find(chosen.begin(), chosen.end(), index) != chosen.end();
       const bool newZone = !zones.contains(members[index].zone);
-      if (chosen.size() < kReplicasOfGroup && !taken && (newZone || !newZonesOnly)) {
+      if (chosen.size() < kReplicasPerGroup && !taken && (newZone || !newZonesOnly)) {
         chosen.push_back(index);
         zones.insert(members[index].zone);
       }
--- a/src/claims/metrics.h
+++ b/src/claims/metrics.h
@@ -9,14 +9,14 @@
 
 namespace calicodrift::claims {
 
-/// All counters of the claims module.
+/// All metrics of the claims module.
 class ClaimMetrics {
  public:
   explicit ClaimMetrics(prometheus::Registry& registry);
 
-  /// A claim of this node's own was decided.
+  /// Counts a decided claim of one of this node's own requests.
   void countVerdict(ClaimVerdict verdict);
-  /// This node's replica voted.
+  /// Counts a vote of this node's replica.
   void countVote(Vote vote);
   void countMalformed() { malformed_.Increment(); }
   void setState(const ClaimView& view, std::size_t votingGroups, std::size_t records);
--- a/src/claims/object_view_store.cc
+++ b/src/claims/object_view_store.cc
@@ -35,7 +35,8 @@
 }
 
 asio::awaitable<void> ObjectViewStore::readAny(ReadDone done) {
-  Result<VersionedView> view = fail(ErrorKind::kStoreUnavailable, "no object API is set");
+  Result<VersionedView> view =
+      fail(ErrorKind::kStoreUnavailable, "no object API endpoint is configured");
   for (const Endpoint& endpoint : objectApi_) {
     object_api::ObjectApiClient store(client_, endpoint);
     const Result<object_api::StoredObject> object =
--- a/src/claims/object_view_store.h
+++ b/src/claims/object_view_store.h
@@ -9,7 +9,7 @@
 
 namespace calicodrift::claims {
 
-/// The current view as the object `claimviews/current` of the object API.
+/// Stores the current view as the object `claimviews/current` of the object API.
 class ObjectViewStore : public ViewStore {
  public:
   ObjectViewStore(boost::asio::any_io_executor executor, http::Client& client,
--- a/src/claims/view_agent.cc
+++ b/src/claims/view_agent.cc
@@ -7,22 +7,24 @@
 namespace calicodrift::claims {
 namespace {
 
-/// Vouches fit one datagram; beyond them no more are given, as none may be forgotten.
-constexpr std::size_t kMaxVouches = 16;
-constexpr Milliseconds kLookInterval{100};
+/// Confirmations must fit in one datagram. Once the limit is reached no more are given, because
+/// none may be dropped.
+constexpr std::size_t kMaxConfirmations = 16;
+constexpr Milliseconds kEvaluationInterval{100};
 constexpr Milliseconds kFirstViewDelay{1000};
-/// After so long in one view without success, the node asks less often.
-constexpr Milliseconds kEagerJoinTime{3000};
-constexpr int kPatientJoinFactor = 10;
-constexpr int kPatientStoreFactor = 5;
+/// If a node has not succeeded in joining a view after this time, it sends join requests less
+/// often.
+constexpr Milliseconds kFastJoinPeriod{3000};
+constexpr int kSlowJoinFactor = 10;
+constexpr int kSlowStoreFactor = 5;
 
 bool contains(const ReplicaSet& set, const std::vector<ViewMember>& members, const NodeId& node) {
   return std::any_of(set.begin(), set.end(),
                      [&](std::size_t index) { return members[index].id == node; });
 }
 
-/// A member list whose message would be too long loses its last members.
-void fitIntoMessage(ClaimView& view) {
+/// Drops the last members of a view that would not fit in one message.
+void truncateToPayloadLimit(ClaimView& view) {
   constexpr std::size_t kMessageOverhead = 64;
   while (view.members.size() > 1 &&
          peer::encode(view).size() + kMessageOverhead > peer::kMaxPayloadBytes) {
@@ -33,15 +35,15 @@
 }  // namespace
 
 ViewAgent::ViewAgent(const ClaimSettings& settings, const peer::PeerDirectory& directory,
-                     ViewStore& store, Sender sender, MemoryStarted memoryStarted,
+                     ViewStore& store, Sender sender, VoteHistoryStarted voteHistoryStarted,
                      ClaimTime started)
     : settings_(settings),
       started_(started),
-      life_(started.wall),
+      incarnation_(started.wall),
       directory_(directory),
       store_(store),
       sender_(std::move(sender)),
-      memoryStarted_(std::move(memoryStarted)) {}
+      voteHistoryStarted_(std::move(voteHistoryStarted)) {}
 
 ViewAgent::~ViewAgent() {
   *alive_ = false;
@@ -49,20 +51,20 @@
 
 void ViewAgent::tick(ClaimTime now) {
   now_ = now;
-  if (!lastLook_ || now.monotonic - *lastLook_ >= kLookInterval) {
-    lastLook_ = now.monotonic;
-    lookAround(now);
+  if (!lastEvaluation_ || now.monotonic - *lastEvaluation_ >= kEvaluationInterval) {
+    lastEvaluation_ = now.monotonic;
+    evaluateMembership(now);
   }
   if (view_.epoch == Epoch()) {
-    askForView(now);
-  } else if (wantsJoin()) {
-    askToJoin(now);
+    requestView(now);
+  } else if (needsJoin()) {
+    sendJoinRequests(now);
     startVoting(now);
   }
-  useStore(now);
+  accessStore(now);
 }
 
-void ViewAgent::noticeEpoch(const Endpoint& from, Epoch epoch) {
+void ViewAgent::observeEpoch(const Endpoint& from, Epoch epoch) {
   if (epoch > view_.epoch) {
     sender_(from, ViewRequest{view_.epoch});
   }
@@ -79,54 +81,56 @@
 }
 
 void ViewAgent::handle(const Endpoint& from, const JoinRequest& request, ClaimTime now) {
-  noticeEpoch(from, request.epoch);
-  // A node that has answered has lived for longer than clocks differ: any later life of its name
-  // starts at a later wall clock time, on whichever machine, and so has a greater number.
+  observeEpoch(from, request.epoch);
+  // A node that replies has been running for longer than the maximum clock difference. Any later
+  // incarnation of the same node, on any machine, starts at a later wall clock time and thus has a
+  // greater incarnation number.
   if (now.monotonic - started_.monotonic <= settings_.clockBound) {
     return;
   }
   JoinReply reply;
   reply.epoch = view_.epoch;
   reply.node = directory_.self().id;
-  reply.life = life_;
-  reply.asked = request.life;
+  reply.incarnation = incarnation_;
+  reply.requesterIncarnation = request.incarnation;
   reply.established = view_.established;
   const bool sameEpoch = request.epoch == view_.epoch;
-  if (!request.wantsVouch || (sameEpoch && vouchFor(request))) {
-    reply.voterGroups = voter_.to_ullong();
+  if (!request.needsConfirmation || (sameEpoch && confirmIncarnation(request))) {
+    reply.voterGroups = votingGroups_.to_ullong();
   }
-  reply.vouched.assign(vouched_.begin(), vouched_.end());
+  reply.confirmed.assign(confirmed_.begin(), confirmed_.end());
   sender_(from, reply);
 }
 
-bool ViewAgent::vouchFor(const JoinRequest& request) {
-  const auto latest = latestVouched_.find(request.node);
-  const bool superseded = latest != latestVouched_.end() && latest->second > request.life;
-  const bool room = vouched_.contains(request.node) || vouched_.size() < kMaxVouches;
-  if (voter_.none() || superseded || !room) {
+bool ViewAgent::confirmIncarnation(const JoinRequest& request) {
+  const auto latest = latestConfirmed_.find(request.node);
+  const bool superseded = latest != latestConfirmed_.end() && latest->second > request.incarnation;
+  const bool room = confirmed_.contains(request.node) || confirmed_.size() < kMaxConfirmations;
+  if (votingGroups_.none() || superseded || !room) {
     return false;
   }
-  vouched_[request.node] = request.life;
-  learnVouch(request.node, request.life);
+  confirmed_[request.node] = request.incarnation;
+  recordConfirmation(request.node, request.incarnation);
   return true;
 }
 
-void ViewAgent::learnVouch(const NodeId& node, Incarnation life) {
-  Incarnation& latest = latestVouched_[node];
-  latest = std::max(latest, life);
+void ViewAgent::recordConfirmation(const NodeId& node, Incarnation incarnation) {
+  Incarnation& latest = latestConfirmed_[node];
+  latest = std::max(latest, incarnation);
 }
 
 void ViewAgent::handle(const Endpoint& from, const JoinReply& reply, ClaimTime now) {
-  if (reply.asked != life_) {
+  if (reply.requesterIncarnation != incarnation_) {
     return;
   }
-  noticeEpoch(from, reply.epoch);
-  for (const auto& [node, life] : reply.vouched) {
-    learnVouch(node, life);
+  observeEpoch(from, reply.epoch);
+  for (const auto& [node, incarnation] : reply.confirmed) {
+    recordConfirmation(node, incarnation);
   }
-  heardAt_[reply.node] = now.monotonic;
+  lastReplyAt_[reply.node] = now.monotonic;
   JoinReply& known = replies_[reply.node];
-  const bool newer = std::pair(reply.life, reply.epoch) >= std::pair(known.life, known.epoch);
+  const bool newer =
+      std::pair(reply.incarnation, reply.epoch) >= std::pair(known.incarnation, known.epoch);
   if (newer) {
     known = reply;
   }
@@ -149,14 +153,14 @@
   if (successor) {
     carryVotesOver(view, nextSets);
   } else {
-    voter_.reset();
+    votingGroups_.reset();
   }
   view_ = view;
   sets_ = nextSets;
   previousSets_ = replicaSetsOf(view.previousMembers);
   adoptedAt_ = now.monotonic;
-  lastJoin_.reset();
-  lastLook_.reset();
+  lastJoinRequest_.reset();
+  lastEvaluation_.reset();
   startVoting(now);
 }
 
@@ -168,123 +172,126 @@
     const bool majorityShrinks =
         majorityOf(nextSets[group].size()) < majorityOf(sets_[group].size());
     if (!stays || majorityShrinks) {
-      voter_.reset(group);
+      votingGroups_.reset(group);
     }
   }
 }
 
-bool ViewAgent::wantsJoin() const {
+bool ViewAgent::needsJoin() const {
   if (view_.epoch == Epoch()) {
     return false;
   }
   const bool member = selfIndex().has_value();
-  if (coordinator_ && wanted_ != view_.members) {
-    // Asks the members that would be dropped whether they are there after all.
+  if (coordinator_ && proposedMembers_ != view_.members) {
+    // Asks the members that would be dropped whether they are still alive.
     return true;
   }
   if (!view_.established) {
     return member || coordinator_;
   }
   for (std::size_t group = 0; group < kGroupCount; ++group) {
-    if (selfReplicates(group) && !voter_.test(group)) {
+    if (selfReplicates(group) && !votingGroups_.test(group)) {
       return true;
     }
   }
   return false;
 }
 
-void ViewAgent::askForView(ClaimTime now) {
-  if (lastJoin_ && now.monotonic - *lastJoin_ < settings_.joinInterval) {
+void ViewAgent::requestView(ClaimTime now) {
+  if (lastJoinRequest_ && now.monotonic - *lastJoinRequest_ < settings_.joinInterval) {
     return;
   }
-  lastJoin_ = now.monotonic;
+  lastJoinRequest_ = now.monotonic;
   const std::vector<peer::PeerInfo> alive = directory_.alivePeers();
   if (!alive.empty()) {
-    sender_(alive[peersAsked_++ % alive.size()].endpoint, ViewRequest{view_.epoch});
+    sender_(alive[viewRequestCount_++ % alive.size()].endpoint, ViewRequest{view_.epoch});
   }
 }
 
-void ViewAgent::askToJoin(ClaimTime now) {
-  const bool eager = now.monotonic - adoptedAt_ < kEagerJoinTime || wanted_ != view_.members;
-  const Milliseconds interval = settings_.joinInterval * (eager ? 1 : kPatientJoinFactor);
-  if (lastJoin_ && now.monotonic - *lastJoin_ < interval) {
+void ViewAgent::sendJoinRequests(ClaimTime now) {
+  const bool fast =
+      now.monotonic - adoptedAt_ < kFastJoinPeriod || proposedMembers_ != view_.members;
+  const Milliseconds interval = settings_.joinInterval * (fast ? 1 : kSlowJoinFactor);
+  if (lastJoinRequest_ && now.monotonic - *lastJoinRequest_ < interval) {
     return;
   }
-  lastJoin_ = now.monotonic;
+  lastJoinRequest_ = now.monotonic;
   const peer::PeerInfo& self = directory_.self();
   for (const ViewMember& member : membersOfBothViews()) {
     if (member.id != self.id) {
-      sender_(endpointOf(member), JoinRequest{view_.epoch, self.id, life_, !storeRead_});
+      sender_(endpointOf(member), JoinRequest{view_.epoch, self.id, incarnation_, !storeRead_});
     }
   }
 }
 
 void ViewAgent::startVoting(ClaimTime now) {
   for (std::size_t group = 0; group < kGroupCount; ++group) {
-    if (!voter_.test(group) && selfReplicates(group) && sealedBefore(group) &&
-        presentEpochProved(group)) {
-      voter_.set(group);
-      memoryStarted_(group, now);
+    if (!votingGroups_.test(group) && selfReplicates(group) && previousEpochSealed(group) &&
+        currentEpochProved(group)) {
+      votingGroups_.set(group);
+      voteHistoryStarted_(group, now);
     }
   }
 }
 
-bool ViewAgent::sealedBefore(std::size_t group) const {
+bool ViewAgent::previousEpochSealed(std::size_t group) const {
   const ReplicaSet& replicas = previousSets_[group];
-  if (!settings_.rules.sealEarlierEpoch || view_.established || replicas.empty()) {
+  if (!settings_.rules.sealPreviousEpoch || view_.established || replicas.empty()) {
     return true;
   }
   const auto left = std::count_if(replicas.begin(), replicas.end(), [this](std::size_t index) {
-    return leftEarlierEpoch(view_.previousMembers[index]);
+    return leftPreviousEpoch(view_.previousMembers[index]);
   });
   return static_cast<std::size_t>(left) >= majorityOf(replicas.size());
 }
 
-bool ViewAgent::leftEarlierEpoch(const ViewMember& member) const {
+bool ViewAgent::leftPreviousEpoch(const ViewMember& member) const {
   if (isSelf(member)) {
     return true;
   }
   const auto reply = replies_.find(member.id);
   return reply != replies_.end() && reply->second.epoch >= view_.epoch &&
-         !replyIsVoid(reply->second);
+         !isReplyInvalidated(reply->second);
 }
 
-bool ViewAgent::presentEpochProved(std::size_t group) const {
-  if (storeRead_ || !settings_.rules.provePresentEpoch) {
+bool ViewAgent::currentEpochProved(std::size_t group) const {
+  if (storeRead_ || !settings_.rules.proveCurrentEpoch) {
     return true;
   }
   const ReplicaSet& replicas = sets_[group];
-  const auto vouchers = std::count_if(replicas.begin(), replicas.end(), [&](std::size_t index) {
-    const ViewMember& member = view_.members[index];
-    return !isSelf(member) && knownToVote(member, group);
-  });
-  // So many that the rest can't hold, with this node, a majority that has left the epoch.
+  const auto confirmations =
+      std::count_if(replicas.begin(), replicas.end(), [&](std::size_t index) {
+        const ViewMember& member = view_.members[index];
+        return !isSelf(member) && isKnownVoter(member, group);
+      });
+  // Enough that the remaining replicas plus this node cannot form a majority that has left the
+  // epoch.
   const std::size_t needed = replicas.size() - majorityOf(replicas.size()) + 1;
-  return static_cast<std::size_t>(vouchers) >= needed;
+  return static_cast<std::size_t>(confirmations) >= needed;
 }
 
-bool ViewAgent::knownToVote(const ViewMember& member, std::size_t group) const {
+bool ViewAgent::isKnownVoter(const ViewMember& member, std::size_t group) const {
   if (isSelf(member)) {
-    return voter_.test(group);
+    return votingGroups_.test(group);
   }
   const auto found = replies_.find(member.id);
-  if (found == replies_.end() || replyIsVoid(found->second)) {
+  if (found == replies_.end() || isReplyInvalidated(found->second)) {
     return false;
   }
   const std::bitset<kGroupCount> groups(found->second.voterGroups);
   return found->second.epoch == view_.epoch && groups.test(group);
 }
 
-bool ViewAgent::replyIsVoid(const JoinReply& reply) const {
-  const auto vouched = latestVouched_.find(reply.node);
-  return vouched != latestVouched_.end() && vouched->second > reply.life;
+bool ViewAgent::isReplyInvalidated(const JoinReply& reply) const {
+  const auto confirmed = latestConfirmed_.find(reply.node);
+  return confirmed != latestConfirmed_.end() && confirmed->second > reply.incarnation;
 }
 
-bool ViewAgent::everyGroupHasVoters() const {
+bool ViewAgent::everyGroupHasVotingMajority() const {
   for (std::size_t group = 0; group < kGroupCount; ++group) {
     const ReplicaSet& replicas = sets_[group];
     const auto voters = std::count_if(replicas.begin(), replicas.end(), [&](std::size_t index) {
-      return knownToVote(view_.members[index], group);
+      return isKnownVoter(view_.members[index], group);
     });
     if (static_cast<std::size_t>(voters) < majorityOf(replicas.size())) {
       return false;
@@ -296,9 +303,9 @@
 std::vector<peer::PeerInfo> ViewAgent::aliveNodes(ClaimTime now) const {
   std::map<NodeId, peer::PeerInfo> alive;
   for (const ViewMember& member : view_.members) {
-    const auto heard = heardAt_.find(member.id);
-    const bool answers =
-        heard != heardAt_.end() && now.monotonic - heard->second < settings_.viewChangeDelay;
+    const auto lastReply = lastReplyAt_.find(member.id);
+    const bool answers = lastReply != lastReplyAt_.end() &&
+                         now.monotonic - lastReply->second < settings_.viewChangeDelay;
     if (answers) {
       alive[member.id] = {member.id, Incarnation(), member.zone, RegionId(), member.endpoint};
     }
@@ -319,7 +326,7 @@
   return nodes;
 }
 
-void ViewAgent::lookAround(ClaimTime now) {
+void ViewAgent::evaluateMembership(ClaimTime now) {
   const std::vector<peer::PeerInfo> alive = aliveNodes(now);
   const std::vector<ViewMember> known = membersOfBothViews();
   endpoints_.clear();
@@ -334,11 +341,11 @@
     }
   }
   ClaimView next{Epoch(), false, chooseMembers(alive, view_.members), view_.members};
-  fitIntoMessage(next);
-  std::vector<ViewMember>& wanted = next.members;
-  if (wanted != wanted_ || wanted == view_.members) {
-    wanted_ = std::move(wanted);
-    wantedSince_ = now.monotonic;
+  truncateToPayloadLimit(next);
+  std::vector<ViewMember>& proposed = next.members;
+  if (proposed != proposedMembers_ || proposed == view_.members) {
+    proposedMembers_ = std::move(proposed);
+    proposedSince_ = now.monotonic;
   }
 }
 
@@ -346,24 +353,27 @@
   const bool first = view_.epoch == Epoch();
   const Milliseconds delay =
       first ? std::min(kFirstViewDelay, settings_.viewChangeDelay) : settings_.viewChangeDelay;
-  return coordinator_ && wanted_ != view_.members && now_.monotonic - wantedSince_ >= delay;
+  return coordinator_ && proposedMembers_ != view_.members &&
+         now_.monotonic - proposedSince_ >= delay;
 }
 
-void ViewAgent::useStore(ClaimTime now) {
+void ViewAgent::accessStore(ClaimTime now) {
   const bool first = view_.epoch == Epoch();
   const bool mustProve = !storeRead_ && (first || selfIndex().has_value());
-  const bool mayEstablish = coordinator_ && !view_.established && !first && everyGroupHasVoters();
+  const bool mayEstablish =
+      coordinator_ && !view_.established && !first && everyGroupHasVotingMajority();
   const bool mayReplace = newViewDue() && (first || view_.established);
   const bool urgent = mustProve || mayEstablish || mayReplace;
-  const Milliseconds pause = settings_.storePause * (urgent ? 1 : kPatientStoreFactor);
-  const bool paused = lastStoreUse_ && now.monotonic - *lastStoreUse_ < pause;
-  // An operator may have declared the earlier epoch's replicas gone.
-  const bool mayHaveBeenSettled = coordinator_ && !view_.established;
-  if (storeBusy_ || paused || (!urgent && !first && !mayHaveBeenSettled)) {
+  const Milliseconds interval = settings_.storeInterval * (urgent ? 1 : kSlowStoreFactor);
+  const bool paused = lastStoreAccess_ && now.monotonic - *lastStoreAccess_ < interval;
+  // An operator may have marked the view as established because replicas of the previous epoch are
+  // lost.
+  const bool mayBeMarkedEstablished = coordinator_ && !view_.established;
+  if (storeBusy_ || paused || (!urgent && !first && !mayBeMarkedEstablished)) {
     return;
   }
   storeBusy_ = true;
-  lastStoreUse_ = now.monotonic;
+  lastStoreAccess_ = now.monotonic;
   store_.read([this, alive = alive_](const Result<VersionedView>& read) {
     if (*alive) {
       storeBusy_ = false;
@@ -393,7 +403,7 @@
     if (!first || !newViewDue()) {
       return std::nullopt;
     }
-    next.view = ClaimView{Epoch(1), true, wanted_, {}};
+    next.view = ClaimView{Epoch(1), true, proposedMembers_, {}};
     return next;
   }
   next = read.value();
@@ -402,12 +412,12 @@
   }
   if (!next.view.established) {
     next.view.established = true;
-    return coordinator_ && everyGroupHasVoters() ? std::optional(next) : std::nullopt;
+    return coordinator_ && everyGroupHasVotingMajority() ? std::optional(next) : std::nullopt;
   }
   if (!newViewDue()) {
     return std::nullopt;
   }
-  next.view = ClaimView{Epoch(view_.epoch.value() + 1), false, wanted_, view_.members};
+  next.view = ClaimView{Epoch(view_.epoch.value() + 1), false, proposedMembers_, view_.members};
   return next;
 }
 
@@ -415,7 +425,7 @@
   storeBusy_ = true;
   store_.write(next, [this, alive = alive_] {
     if (*alive) {
-      // Whether it took effect shows in the next read.
+      // The next read shows whether the write took effect.
       storeBusy_ = false;
     }
   });
--- a/src/claims/view_agent.h
+++ b/src/claims/view_agent.h
@@ -16,49 +16,52 @@
 
 namespace calicodrift::claims {
 
-/// Keeps this node's view of who holds the claims, decides in which groups the node votes, and
-/// writes new views when the alive nodes have changed.
+/// Maintains this node's view of the nodes that store claims, decides in which groups the node
+/// votes, and writes new views when the set of alive nodes has changed.
 ///
-/// Invariant: no two epochs can form a majority for the same key's group at the same time.
-/// A node votes in a group of epoch e only if
-///  - it carried its vote over from e-1, its memory whole, into a set that needs no fewer accepts;
-///    or
-///  - the epoch before is sealed: a majority of its replicas has left it for good. Then all earlier
-///    ones are sealed too, as the view e-1 was established before e was written.
-/// So a majority of epoch e either has a member that joined after the seal, or shares a replica,
-/// with its memory, with every majority of e-1.
-/// "For good" outlives a restart: a restarted node votes only after it has read the object API
-/// since its start (which holds e or later), or after so many voters of the same epoch have vouched
-/// for it that no majority can have left that epoch; a node that vouched says so in every later
-/// reply, which makes replies of the vouched node's earlier lives void.
+/// Invariant: no two epochs can form a majority for the same group at the same time. A node votes
+/// in a group of epoch e only if
+///  - it carried its vote over from e-1 with a complete vote history, into a replica set whose
+///    majority is not smaller; or
+///  - the previous epoch is sealed: a majority of its replicas has left it permanently. All earlier
+///    epochs are then sealed too, because view e-1 was established before e was written.
+/// A majority of epoch e therefore either has a member that joined after the seal, or shares a
+/// replica, with its vote history, with every majority of e-1.
+///
+/// Leaving an epoch is permanent across restarts: a restarted node votes only after it has read the
+/// object API since it started (which holds e or a later epoch), or after enough voters of the same
+/// epoch have confirmed it that no majority can have left that epoch. A node that has confirmed
+/// another reports that in every later reply, which invalidates the replies of earlier incarnations
+/// of the confirmed node.
 class ViewAgent {
  public:
   using Sender = std::function<void(const Endpoint& to, const ClaimMessage& message)>;
-  /// Called when the node's memory of a group's votes begins.
-  using MemoryStarted = std::function<void(std::size_t group, ClaimTime now)>;
+  /// Called when the node's history of votes in a group begins.
+  using VoteHistoryStarted = std::function<void(std::size_t group, ClaimTime now)>;
 
   ViewAgent(const ClaimSettings& settings, const peer::PeerDirectory& directory, ViewStore& store,
-            Sender sender, MemoryStarted memoryStarted, ClaimTime started);
+            Sender sender, VoteHistoryStarted voteHistoryStarted, ClaimTime started);
   ~ViewAgent();
   ViewAgent(const ViewAgent&) = delete;
   ViewAgent& operator=(const ViewAgent&) = delete;
 
   void tick(ClaimTime now);
-  /// A message named a later epoch: asks its sender for that view.
-  void noticeEpoch(const Endpoint& from, Epoch epoch);
+  /// Requests the view from `from` if `epoch` is later than the current one.
+  void observeEpoch(const Endpoint& from, Epoch epoch);
   void handle(const Endpoint& from, const ViewRequest& request);
   void handle(const Endpoint& from, const ViewNotice& notice, ClaimTime now);
   void handle(const Endpoint& from, const JoinRequest& request, ClaimTime now);
   void handle(const Endpoint& from, const JoinReply& reply, ClaimTime now);
 
-  /// Epoch 0 while no view is known.
+  /// Epoch of the current view; 0 if no view is known.
   Epoch epoch() const { return view_.epoch; }
   const ClaimView& view() const { return view_; }
   /// Replicas of the group in the current view, as indexes into view().members.
   const ReplicaSet& replicas(std::size_t group) const { return sets_.at(group); }
-  bool votes(std::size_t group) const { return voter_.test(group); }
-  std::size_t votingGroups() const { return voter_.count(); }
-  /// Address of a member: as the directory knows it, or as the view says.
+  bool votes(std::size_t group) const { return votingGroups_.test(group); }
+  std::size_t votingGroups() const { return votingGroups_.count(); }
+  /// Address of a member: from the peer directory if the node is alive there, otherwise from the
+  /// view.
   Endpoint endpointOf(const ViewMember& member) const;
 
  private:
@@ -67,68 +70,70 @@
   bool selfReplicates(std::size_t group) const;
   void adopt(const ClaimView& view, ClaimTime now);
   void carryVotesOver(const ClaimView& next, const std::array<ReplicaSet, kGroupCount>& nextSets);
-  bool wantsJoin() const;
-  /// A node without a view asks one peer after the other.
-  void askForView(ClaimTime now);
-  void askToJoin(ClaimTime now);
+  bool needsJoin() const;
+  /// Requests the view from one alive peer after the other; used while no view is known.
+  void requestView(ClaimTime now);
+  void sendJoinRequests(ClaimTime now);
   void startVoting(ClaimTime now);
-  bool sealedBefore(std::size_t group) const;
-  bool presentEpochProved(std::size_t group) const;
-  bool replyIsVoid(const JoinReply& reply) const;
-  bool leftEarlierEpoch(const ViewMember& member) const;
-  bool knownToVote(const ViewMember& member, std::size_t group) const;
-  void learnVouch(const NodeId& node, Incarnation life);
-  /// Records the vouch; false where there is no room, or the node has restarted again meanwhile.
-  bool vouchFor(const JoinRequest& request);
+  bool previousEpochSealed(std::size_t group) const;
+  bool currentEpochProved(std::size_t group) const;
+  bool isReplyInvalidated(const JoinReply& reply) const;
+  bool leftPreviousEpoch(const ViewMember& member) const;
+  bool isKnownVoter(const ViewMember& member, std::size_t group) const;
+  void recordConfirmation(const NodeId& node, Incarnation incarnation);
+  /// Records a confirmation. Returns false if the limit is reached, this node votes in no group, or
+  /// the node has restarted again in the meantime.
+  bool confirmIncarnation(const JoinRequest& request);
   std::vector<ViewMember> membersOfBothViews() const;
-  bool everyGroupHasVoters() const;
+  bool everyGroupHasVotingMajority() const;
 
-  /// Whom the directory believes alive, and members that answer, each once. A directory that knows
-  /// of nobody yet, or errs, so drops no member.
+  /// Nodes that the directory reports alive plus view members that reply, each once. An empty or
+  /// wrong directory therefore does not remove any member.
   std::vector<peer::PeerInfo> aliveNodes(ClaimTime now) const;
-  void lookAround(ClaimTime now);
+  void evaluateMembership(ClaimTime now);
   bool newViewDue() const;
-  void useStore(ClaimTime now);
+  void accessStore(ClaimTime now);
   void onRead(const Result<VersionedView>& read, ClaimTime now);
   std::optional<VersionedView> successorOf(const Result<VersionedView>& read) const;
   void write(const VersionedView& next);
 
   const ClaimSettings& settings_;
   const ClaimTime started_;
-  /// Numbers this process's life; greater in a later life of the same name.
-  const Incarnation life_;
+  /// Incarnation of this process; greater after every restart of the same node.
+  const Incarnation incarnation_;
   const peer::PeerDirectory& directory_;
   ViewStore& store_;
   Sender sender_;
-  MemoryStarted memoryStarted_;
+  VoteHistoryStarted voteHistoryStarted_;
   ClaimView view_;
   std::array<ReplicaSet, kGroupCount> sets_;
   std::array<ReplicaSet, kGroupCount> previousSets_;
-  std::bitset<kGroupCount> voter_;
-  /// The object API was read since the start, so every epoch from now on is new to this node.
+  std::bitset<kGroupCount> votingGroups_;
+  /// True once the object API was read since startup; every epoch from then on is new to this node.
   bool storeRead_ = false;
-  /// The latest reply of each node, of this process's life only.
+  /// Latest reply of each node to this incarnation.
   std::map<NodeId, JoinReply> replies_;
-  /// When each node last answered.
-  std::map<NodeId, MonotonicTime> heardAt_;
-  /// Whom this node vouched for, at any time.
-  std::map<NodeId, Incarnation> vouched_;
-  /// The latest vouched life of each node, by whomever; replies of earlier ones are void.
-  std::map<NodeId, Incarnation> latestVouched_;
-  std::optional<MonotonicTime> lastJoin_;
-  std::size_t peersAsked_ = 0;
+  /// Time of the last reply of each node.
+  std::map<NodeId, MonotonicTime> lastReplyAt_;
+  /// Incarnations that this node has ever confirmed.
+  std::map<NodeId, Incarnation> confirmed_;
+  /// Latest incarnation of each node that any node confirmed; replies of earlier ones are invalid.
+  std::map<NodeId, Incarnation> latestConfirmed_;
+  std::optional<MonotonicTime> lastJoinRequest_;
+  std::size_t viewRequestCount_ = 0;
   MonotonicTime adoptedAt_;
-  std::optional<MonotonicTime> lastLook_;
-  /// Whether this node has the lowest id of those that it believes to be alive.
+  std::optional<MonotonicTime> lastEvaluation_;
+  /// True if this node has the lowest id of all nodes that it considers alive.
   bool coordinator_ = false;
-  /// Addresses of alive nodes of both views, which may differ from the view's after a restart.
+  /// Addresses of alive nodes of both views. They differ from the address in the view if a node
+  /// restarted elsewhere.
   std::map<NodeId, Endpoint> endpoints_;
-  std::vector<ViewMember> wanted_;
-  MonotonicTime wantedSince_;
-  std::optional<MonotonicTime> lastStoreUse_;
+  std::vector<ViewMember> proposedMembers_;
+  MonotonicTime proposedSince_;
+  std::optional<MonotonicTime> lastStoreAccess_;
   bool storeBusy_ = false;
   ClaimTime now_;
-  /// Lets an answer of the store that outlives the agent see that it has gone.
+  /// Lets store callbacks that outlive the agent detect that it was destroyed.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/claims/view_store.h
+++ b/src/claims/view_store.h
@@ -9,22 +9,25 @@
 
 namespace calicodrift::claims {
 
-/// A view with the version under which the object API keeps it.
+/// A view with its resource version in the object API.
 struct VersionedView {
   object_api::ResourceVersion version;
   ClaimView view;
 };
 
-/// Where the current view lives. Implemented over the object API, and by a model in tests. Reads
-/// and conditional writes are linearizable; every call is answered once, within a bounded time.
+/// Storage of the current view, implemented over the object API and by a simulation in tests. Reads
+/// and conditional writes are linearizable. Every call completes exactly once, within a bounded
+/// time.
 class ViewStore {
  public:
   using ReadDone = std::function<void(const Result<VersionedView>&)>;
 
   virtual ~ViewStore() = default;
-  /// Fails with kNotFound where no view was ever written, and with kStoreUnavailable.
+  /// Fails with kNotFound if no view was ever written, and with kStoreUnavailable if the store
+  /// cannot be reached.
   virtual void read(ReadDone done) = 0;
-  /// Writes if the stored version is still `view.version`. Whether it took effect is read back.
+  /// Writes the view if the stored version still equals `view.version`. `done` does not report
+  /// success; callers find out with the next read.
   virtual void write(const VersionedView& view, std::function<void()> done) = 0;
 };
 
--- a/tests/claims/claim_schedule_test.cc
+++ b/tests/claims/claim_schedule_test.cc
@@ -5,13 +5,13 @@
 namespace calicodrift::claims::testing {
 namespace {
 
-/// What a schedule mostly does to the fleet.
-enum class Kind { kRestarts, kPartitions, kPartitionsWithRestarts };
+/// Predominant type of fault that a schedule injects.
+enum class FaultProfile { kRestarts, kPartitions, kPartitionsWithRestarts };
 
-/// Random faults and claims, from the fleet's seed.
+/// Runs random faults and claims, drawn from the seed of the fleet.
 class Schedule {
  public:
-  Schedule(SimulatedFleet& fleet, Kind kind) : fleet_(fleet), kind_(kind) {}
+  Schedule(SimulatedFleet& fleet, FaultProfile profile) : fleet_(fleet), profile_(profile) {}
 
   void run() {
     constexpr int kSteps = 200;
@@ -22,8 +22,8 @@
     }
   }
 
-  /// Ends all faults and waits for the fleet to recover.
-  void heal() {
+  /// Removes all faults and waits for the fleet to recover.
+  void recover() {
     fleet_.network.setFaults({});
     fleet_.network.healAll();
     for (std::size_t index = 0; index < fleet_.size(); ++index) {
@@ -39,22 +39,22 @@
 
  private:
   std::uint64_t random(std::uint64_t bound) { return fleet_.network.random()() % bound; }
-  std::size_t anyNode() { return random(fleet_.size()); }
+  std::size_t randomNode() { return random(fleet_.size()); }
 
   void takeStep() {
     const std::uint64_t choice = random(20);
-    if (kind_ != Kind::kRestarts && choice >= 11) {
+    if (profile_ != FaultProfile::kRestarts && choice >= 11) {
       if (choice < 14) {
         partition();
         keys_.clear();
-        requestSomewhere();
-      } else if (choice < 16 && kind_ == Kind::kPartitionsWithRestarts) {
-        restartSome();
+        requestOnRandomNodes();
+      } else if (choice < 16 && profile_ == FaultProfile::kPartitionsWithRestarts) {
+        restartRandomNodes();
       }
     } else if (choice < 11) {
-      requestSomewhere();
+      requestOnRandomNodes();
     } else if (choice < 13) {
-      restartSome();
+      restartRandomNodes();
     } else if (choice < 15) {
       changeNetwork();
     } else if (choice < 17) {
@@ -62,15 +62,15 @@
     } else if (choice < 18) {
       setStoreDown(random(2) == 0);
     } else {
-      changePause();
+      togglePause();
     }
   }
 
-  void requestSomewhere() {
+  void requestOnRandomNodes() {
     constexpr std::size_t kKeys = 3;
     if (keys_.size() < kKeys || random(8) == 0) {
-      // From long ago to further ahead than any replica takes.
-      const std::int64_t oldest = kind_ == Kind::kRestarts ? 900 : 100;
+      // From nearly expired to further ahead than any replica accepts.
+      const std::int64_t oldest = profile_ == FaultProfile::kRestarts ? 900 : 100;
       const std::int64_t lead = static_cast<std::int64_t>(random(oldest + 300)) - oldest;
       keys_.insert(keys_.begin(), fleet_.makeKey(lead));
       keys_.resize(std::min(keys_.size(), kKeys));
@@ -78,14 +78,15 @@
     const ClaimKey& key = keys_[random(keys_.size())];
     const std::uint64_t routers = 1 + random(3);
     for (std::uint64_t count = 0; count < routers; ++count) {
-      const std::size_t index = anyNode();
+      const std::size_t index = randomNode();
       if (fleet_.running(index) && !fleet_.paused(index)) {
         fleet_.request(index, key, Milliseconds(random(300)));
       }
     }
   }
 
-  /// Sides that hear nothing of each other; the object API may be reached from one of them only.
+  /// Splits the fleet into two sides that cannot reach each other; the object API may be reachable
+  /// from only one side.
   void partition() {
     fleet_.network.healAll();
     const std::uint64_t sides = random(std::uint64_t{1} << fleet_.size());
@@ -110,10 +111,10 @@
     }
   }
 
-  void restartSome() {
-    const bool herd = random(6) == 0;
+  void restartRandomNodes() {
+    const bool all = random(6) == 0;
     for (std::size_t index = 0; index < fleet_.size(); ++index) {
-      if (herd || random(fleet_.size()) == 0) {
+      if (all || random(fleet_.size()) == 0) {
         fleet_.restart(index);
       }
     }
@@ -126,8 +127,8 @@
       return;
     }
     fleet_.network.setFaults({0.2, 0.2, Milliseconds(1), Milliseconds(60)});
-    const std::size_t from = anyNode();
-    const std::size_t to = anyNode();
+    const std::size_t from = randomNode();
+    const std::size_t to = randomNode();
     fleet_.network.cut(fleet_.endpoint(from), fleet_.endpoint(to));
     if (random(2) == 0) {
       fleet_.network.cut(fleet_.endpoint(to), fleet_.endpoint(from));
@@ -135,7 +136,7 @@
   }
 
   void changeMembership() {
-    const std::size_t index = anyNode();
+    const std::size_t index = randomNode();
     if (!fleet_.running(index)) {
       fleet_.start(index);
     } else if (random(3) == 0) {
@@ -143,91 +144,92 @@
     } else {
       auto& suspected = fleet_.directory(index).suspected;
       suspected.clear();
-      suspected.insert(NodeId("n" + std::to_string(anyNode())));
+      suspected.insert(NodeId("n" + std::to_string(randomNode())));
     }
   }
 
-  void changePause() {
-    const std::size_t index = anyNode();
+  void togglePause() {
+    const std::size_t index = randomNode();
     if (fleet_.running(index)) {
       fleet_.setPaused(index, !fleet_.paused(index));
     }
   }
 
   SimulatedFleet& fleet_;
-  Kind kind_;
+  FaultProfile profile_;
   std::vector<ClaimKey> keys_;
 };
 
 struct Totals {
   int schedules = 0;
-  int withSecondRun = 0;
+  int withDuplicateDispatch = 0;
   int granted = 0;
   std::uint64_t epochs = 0;
-  /// The seeds of the schedules with a second run.
+  /// Seeds of the schedules in which a key was dispatched twice.
   std::string seeds;
 };
 
-Totals runSchedules(std::uint64_t seeds, Kind kind, const SafetyRules& rules) {
+Totals runSchedules(std::uint64_t seeds, FaultProfile profile, const SafetyRules& rules) {
   Totals totals;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    ClaimSettings settings = quickSettings();
+    ClaimSettings settings = shortTimeoutSettings();
     settings.rules = rules;
-    const std::size_t smallest = kind == Kind::kRestarts ? 2 : 4;
+    const std::size_t smallest = profile == FaultProfile::kRestarts ? 2 : 4;
     SimulatedFleet fleet(seed, smallest + seed % 4, settings);
-    Schedule schedule(fleet, kind);
+    Schedule schedule(fleet, profile);
     schedule.run();
     ++totals.schedules;
-    if (fleet.mostDispatchesOfAKey() > 1) {
-      ++totals.withSecondRun;
+    if (fleet.maxDispatchesOfAnyKey() > 1) {
+      ++totals.withDuplicateDispatch;
       totals.seeds += " " + std::to_string(seed);
     }
     totals.granted += fleet.verdicts[ClaimVerdict::kGranted];
-    schedule.heal();
+    schedule.recover();
     totals.epochs += fleet.node(0).view().epoch.value();
   }
-  BOOST_TEST_MESSAGE("schedules " << totals.schedules << ", with a second run "
-                                  << totals.withSecondRun << ", claims granted " << totals.granted
-                                  << ", epochs " << totals.epochs);
+  BOOST_TEST_MESSAGE("schedules " << totals.schedules << ", with a duplicate dispatch "
+                                  << totals.withDuplicateDispatch << ", claims granted "
+                                  << totals.granted << ", epochs " << totals.epochs);
   return totals;
 }
 
 BOOST_AUTO_TEST_CASE(noKeyIsEverDispatchedTwice) {
-  for (const Kind kind : {Kind::kRestarts, Kind::kPartitions, Kind::kPartitionsWithRestarts}) {
-    const Totals totals = runSchedules(300, kind, SafetyRules{});
+  for (const FaultProfile profile : {FaultProfile::kRestarts, FaultProfile::kPartitions,
+                                     FaultProfile::kPartitionsWithRestarts}) {
+    const Totals totals = runSchedules(300, profile, SafetyRules{});
     BOOST_TEST_CONTEXT("seeds" << totals.seeds) {
-      BOOST_TEST(totals.withSecondRun == 0);
+      BOOST_TEST(totals.withDuplicateDispatch == 0);
     }
-    // The schedules grant claims and change views, so they are no empty proof.
+    // Schedules that granted no claims or changed no views would prove nothing.
     BOOST_TEST(totals.granted > 300);
     BOOST_TEST(totals.epochs > 900U);
   }
 }
 
-BOOST_AUTO_TEST_CASE(withoutAbstentionAfterARestartAKeyRunsTwice) {
+BOOST_AUTO_TEST_CASE(withoutAbstentionAfterARestartAKeyIsDispatchedTwice) {
   SafetyRules rules;
   rules.abstainAfterRestart = false;
-  BOOST_TEST(runSchedules(100, Kind::kRestarts, rules).withSecondRun > 0);
+  BOOST_TEST(runSchedules(100, FaultProfile::kRestarts, rules).withDuplicateDispatch > 0);
 }
 
-BOOST_AUTO_TEST_CASE(withoutTheSealAtAViewChangeAKeyRunsTwice) {
+BOOST_AUTO_TEST_CASE(withoutSealingThePreviousEpochAKeyIsDispatchedTwice) {
   SafetyRules rules;
-  rules.sealEarlierEpoch = false;
-  BOOST_TEST(runSchedules(300, Kind::kPartitions, rules).withSecondRun > 0);
+  rules.sealPreviousEpoch = false;
+  BOOST_TEST(runSchedules(300, FaultProfile::kPartitions, rules).withDuplicateDispatch > 0);
 }
 
-BOOST_AUTO_TEST_CASE(withoutTheCheckOfTheEpochAKeyRunsTwice) {
+BOOST_AUTO_TEST_CASE(withoutTheEpochCheckAKeyIsDispatchedTwice) {
   SafetyRules rules;
   rules.checkEpoch = false;
-  BOOST_TEST(runSchedules(300, Kind::kPartitions, rules).withSecondRun > 0);
+  BOOST_TEST(runSchedules(300, FaultProfile::kPartitions, rules).withDuplicateDispatch > 0);
 }
 
-BOOST_AUTO_TEST_CASE(afterTheFaultsEveryNodeClaimsAgain) {
+BOOST_AUTO_TEST_CASE(everyNodeClaimsAgainAfterFaultsEnd) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    SimulatedFleet fleet(seed, 1 + seed % 6, quickSettings());
-    Schedule schedule(fleet, static_cast<Kind>(seed % 3));
+    SimulatedFleet fleet(seed, 1 + seed % 6, shortTimeoutSettings());
+    Schedule schedule(fleet, static_cast<FaultProfile>(seed % 3));
     schedule.run();
-    schedule.heal();
+    schedule.recover();
     for (std::size_t index = 0; index < fleet.size(); ++index) {
       const ClaimKey key = fleet.makeKey(0);
       fleet.request(index, key, Milliseconds(10));
--- a/tests/claims/claim_view_test.cc
+++ b/tests/claims/claim_view_test.cc
@@ -5,9 +5,10 @@
 namespace calicodrift::claims::testing {
 namespace {
 
-constexpr Milliseconds kSettle{3000};
+constexpr Milliseconds kConvergenceTime{3000};
 
-/// Sets who hears and suspects whom: nodes of one side only reach each other.
+/// Partitions the fleet so that nodes in `side` and the other nodes cannot reach each other and
+/// suspect each other.
 void split(SimulatedFleet& fleet, const std::set<std::size_t>& side) {
   fleet.network.healAll();
   for (std::size_t from = 0; from < fleet.size(); ++from) {
@@ -23,29 +24,30 @@
   }
 }
 
-/// The first two replicas of three move on to a second epoch with two new nodes, restart without
-/// the object API, and are then alone with the third replica, which still has the first epoch.
-int dispatchesAfterAnOldEpochIsOffered(bool provePresentEpoch) {
-  ClaimSettings settings = quickSettings();
-  settings.rules.provePresentEpoch = provePresentEpoch;
+/// Two of three replicas move to a second epoch with two new nodes, restart without the object API,
+/// and then can reach only the third replica, which is still in the first epoch. Returns the
+/// maximum number of dispatches of a key.
+int maxDispatchesAfterOldEpochIsOffered(bool proveCurrentEpoch) {
+  ClaimSettings settings = shortTimeoutSettings();
+  settings.rules.proveCurrentEpoch = proveCurrentEpoch;
   SimulatedFleet fleet(1, 5, settings);
   fleet.stop(3);
   fleet.stop(4);
-  fleet.network.run(kSettle);
+  fleet.network.run(kConvergenceTime);
   split(fleet, {2});
   fleet.store(2).setDown(true);
   fleet.start(3);
   fleet.start(4);
   fleet.directory(3).suspected.insert(NodeId("n2"));
   fleet.directory(4).suspected.insert(NodeId("n2"));
-  fleet.network.run(kSettle);
+  fleet.network.run(kConvergenceTime);
   BOOST_TEST(fleet.node(2).view().epoch.value() < fleet.node(3).view().epoch.value());
   for (const std::size_t index : {0U, 1U}) {
     fleet.store(index).setDown(true);
     fleet.restart(index);
   }
   split(fleet, {0, 1, 2});
-  fleet.network.run(kSettle);
+  fleet.network.run(kConvergenceTime);
   constexpr int kKeys = 40;
   for (int count = 0; count < kKeys; ++count) {
     const ClaimKey key = fleet.makeKey(0);
@@ -53,28 +55,29 @@
     fleet.request(3, key, Milliseconds(10));
     fleet.network.run(Milliseconds(300));
   }
-  return fleet.mostDispatchesOfAKey();
+  return fleet.maxDispatchesOfAnyKey();
 }
 
-BOOST_AUTO_TEST_CASE(aRestartedReplicaDoesNotReviveAnEpochThatItHadLeft) {
-  BOOST_TEST(dispatchesAfterAnOldEpochIsOffered(true) <= 1);
-  BOOST_TEST(dispatchesAfterAnOldEpochIsOffered(false) == 2);
+BOOST_AUTO_TEST_CASE(aRestartedReplicaDoesNotReviveAnEpochItHasLeft) {
+  BOOST_TEST(maxDispatchesAfterOldEpochIsOffered(true) <= 1);
+  BOOST_TEST(maxDispatchesAfterOldEpochIsOffered(false) == 2);
 }
 
-BOOST_AUTO_TEST_CASE(aReplicaThatRestartsWhileTheStoreIsDownVotesOnceTheOthersVouch) {
-  SimulatedFleet fleet(2, 3, quickSettings());
-  fleet.network.run(kSettle);
+BOOST_AUTO_TEST_CASE(aReplicaThatRestartsWhileTheStoreIsDownVotesOnceTheOthersConfirmIt) {
+  SimulatedFleet fleet(2, 3, shortTimeoutSettings());
+  fleet.network.run(kConvergenceTime);
   for (std::size_t index = 0; index < fleet.size(); ++index) {
     fleet.store(index).setDown(true);
   }
   fleet.restart(1);
-  fleet.network.run(kSettle);
+  fleet.network.run(kConvergenceTime);
   BOOST_TEST(fleet.node(1).votingGroups() == kGroupCount);
-  // All at once: nobody is left to vouch, so every claim is refused until the store is back.
+  // After a simultaneous restart no node is left to confirm the others, so every claim is refused
+  // until the store is reachable again.
   for (std::size_t index = 0; index < fleet.size(); ++index) {
     fleet.restart(index);
   }
-  fleet.network.run(kSettle);
+  fleet.network.run(kConvergenceTime);
   const ClaimKey key = fleet.makeKey(0);
   fleet.request(0, key, Milliseconds(10));
   fleet.network.run(Milliseconds(1000));
@@ -82,19 +85,19 @@
   for (std::size_t index = 0; index < fleet.size(); ++index) {
     fleet.store(index).setDown(false);
   }
-  fleet.network.run(kSettle);
+  fleet.network.run(kConvergenceTime);
   const ClaimKey later = fleet.makeKey(0);
   fleet.request(0, later, Milliseconds(10));
   fleet.network.run(Milliseconds(1000));
   BOOST_TEST((fleet.lastVerdict[later] == ClaimVerdict::kGranted));
 }
 
-BOOST_AUTO_TEST_CASE(anOperatorCanDeclareLostReplicasGone) {
-  SimulatedFleet fleet(4, 3, quickSettings());
-  fleet.network.run(kSettle);
+BOOST_AUTO_TEST_CASE(anOperatorCanMarkAViewEstablishedAfterReplicaLoss) {
+  SimulatedFleet fleet(4, 3, shortTimeoutSettings());
+  fleet.network.run(kConvergenceTime);
   fleet.stop(1);
   fleet.stop(2);
-  fleet.network.run(kSettle);
+  fleet.network.run(kConvergenceTime);
   const auto verdictOfNewKey = [&fleet] {
     const ClaimKey key = fleet.makeKey(0);
     fleet.request(0, key, Milliseconds(10));
@@ -104,14 +107,14 @@
   BOOST_TEST(!fleet.node(0).view().established);
   BOOST_TEST((verdictOfNewKey() == ClaimVerdict::kUnavailable));
   fleet.storedView()->view.established = true;
-  fleet.network.run(kSettle);
+  fleet.network.run(kConvergenceTime);
   BOOST_TEST((verdictOfNewKey() == ClaimVerdict::kGranted));
 }
 
-BOOST_AUTO_TEST_CASE(oneOfTwoRoutersThatAskAtOnceWins) {
+BOOST_AUTO_TEST_CASE(exactlyOneOfTwoConcurrentClaimsIsGranted) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-    SimulatedFleet fleet(seed, 2 + seed % 3, quickSettings());
-    fleet.network.run(kSettle);
+    SimulatedFleet fleet(seed, 2 + seed % 3, shortTimeoutSettings());
+    fleet.network.run(kConvergenceTime);
     const ClaimKey key = fleet.makeKey(0);
     fleet.request(0, key, Milliseconds(1000));
     fleet.request(1, key, Milliseconds(1000));
@@ -121,11 +124,11 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(theVerdictSaysWhatIsKnownOfTheKey) {
-  ClaimSettings settings = quickSettings();
+BOOST_AUTO_TEST_CASE(theVerdictReflectsTheStateOfTheKey) {
+  ClaimSettings settings = shortTimeoutSettings();
   settings.maxRecords = 3;
   SimulatedFleet fleet(3, 3, settings);
-  fleet.network.run(kSettle);
+  fleet.network.run(kConvergenceTime);
   const auto verdictOf = [&fleet](std::size_t index, const ClaimKey& key) {
     fleet.request(index, key, Milliseconds(10));
     fleet.network.run(Milliseconds(400));
@@ -139,15 +142,15 @@
   BOOST_TEST((verdictOf(1, fleet.makeKey(0)) == ClaimVerdict::kGranted));
   BOOST_TEST((verdictOf(1, fleet.makeKey(0)) == ClaimVerdict::kGranted));
   BOOST_TEST((verdictOf(1, fleet.makeKey(0)) == ClaimVerdict::kMemoryFull));
-  // Nothing is forgotten before its time, and everything after it.
+  // Records are kept for exactly the retention.
   BOOST_TEST((verdictOf(2, key) == ClaimVerdict::kCompleted));
   fleet.network.run(settings.retention);
   BOOST_TEST(fleet.node(0).records() == 0U);
   BOOST_TEST((verdictOf(2, key) == ClaimVerdict::kKeyTooOld));
 }
 
-BOOST_AUTO_TEST_CASE(aReleasedKeyIsFreeAndItsLateClaimsStayRefused) {
-  const ClaimSettings settings = quickSettings();
+BOOST_AUTO_TEST_CASE(aReleasedKeyCanBeClaimedButDelayedClaimsStayRefused) {
+  const ClaimSettings settings = shortTimeoutSettings();
   ClaimReplica replica(settings);
   constexpr WallMilliseconds kNow = 1'000'000;
   const ClaimKey key = parseClaimKey(TenantId("t"), makeUuidV7(kNow, 1, 2)).value();
@@ -160,13 +163,13 @@
   replica.release({key, first.token});
   BOOST_TEST((replica.vote(first, kNow).vote == Vote::kGivenUp));
   BOOST_TEST((replica.vote(second, kNow).vote == Vote::kAccepted));
-  // A clock that is set back brings no old key back.
+  // Setting the clock back does not make an expired key valid again.
   const WallMilliseconds late = kNow + static_cast<WallMilliseconds>(settings.retention.count());
   replica.prune(late);
   BOOST_TEST((replica.vote(first, kNow).vote == Vote::kKeyTooOld));
 }
 
-BOOST_AUTO_TEST_CASE(onlyAUuidOfVersionSevenIsAKey) {
+BOOST_AUTO_TEST_CASE(onlyAVersion7UuidIsAccepted) {
   const TenantId tenant("t");
   const ClaimKey key = parseClaimKey(tenant, makeUuidV7(1'700'000'000'123, 5, 6)).value();
   BOOST_TEST(key.time() == 1'700'000'000'123U);
@@ -180,7 +183,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(aViewSurvivesTheStoreAndSpreadsReplicasOverZones) {
+BOOST_AUTO_TEST_CASE(aViewRoundTripsThroughJsonAndSpreadsReplicasOverZones) {
   std::vector<peer::PeerInfo> alive;
   constexpr int kNodes = 20;
   alive.reserve(kNodes);
@@ -201,9 +204,9 @@
     for (const std::size_t index : replicas) {
       zones.insert(view.members[index].zone);
     }
-    BOOST_TEST(zones.size() == kReplicasOfGroup);
+    BOOST_TEST(zones.size() == kReplicasPerGroup);
   }
-  // Members stay while they live.
+  // Current members are kept while they are alive.
   std::reverse(alive.begin(), alive.end());
   BOOST_TEST((chooseMembers(alive, view.members) == view.members));
 }
--- a/tests/claims/simulated_fleet.h
+++ b/tests/claims/simulated_fleet.h
@@ -15,7 +15,8 @@
 
 using calicodrift::testing::SimulatedNetwork;
 
-/// The object API as one node reaches it, in virtual time: linearizable, slow, at times down.
+/// The object API as seen by one node, in virtual time: linearizable, slow and sometimes
+/// unreachable.
 class SimulatedStore : public ViewStore {
  public:
   using Stored = std::optional<VersionedView>;
@@ -52,7 +53,7 @@
   bool down_ = false;
 };
 
-/// Holds back what arrives while the process is stopped.
+/// Queues received messages while the process is paused.
 class PausableTransport : public peer::Transport {
  public:
   explicit PausableTransport(std::unique_ptr<peer::Transport> inner) : inner_(std::move(inner)) {}
@@ -87,7 +88,7 @@
   bool paused_ = false;
 };
 
-/// Believes that every running node is alive, except those that it suspects.
+/// Reports every running node as alive, except the suspected ones.
 class SimulatedDirectory : public peer::PeerDirectory {
  public:
   SimulatedDirectory(peer::PeerInfo self, const std::map<NodeId, peer::PeerInfo>& running)
@@ -109,8 +110,8 @@
   const std::map<NodeId, peer::PeerInfo>& running_;
 };
 
-/// Nodes with clocks that differ by the bound at most, over a simulated network and store. Counts
-/// the dispatches that the nodes' claims allowed for each key.
+/// Nodes whose clocks differ by at most the clock bound, over a simulated network and store. Counts
+/// the dispatches that the granted claims allowed for each key.
 class SimulatedFleet {
  public:
   SimulatedFleet(std::uint64_t seed, std::size_t nodes, ClaimSettings settings)
@@ -127,7 +128,7 @@
   ClaimNode& node(std::size_t index) { return *nodes_[index].claims; }
   SimulatedDirectory& directory(std::size_t index) { return *nodes_[index].directory; }
   SimulatedStore& store(std::size_t index) { return *stores_[index]; }
-  /// What the object API holds.
+  /// Contents of the object API.
   SimulatedStore::Stored& storedView() { return stored_; }
   Endpoint endpoint(std::size_t index) const { return {"10.0.0." + std::to_string(index), 1}; }
 
@@ -135,7 +136,8 @@
     running_.erase(idOf(index));
     nodes_[index] = Member{};
   }
-  /// A life without memory, whose clock may be another machine's.
+  /// Starts a process with an empty state. Its clock skew is drawn again, as if it ran on another
+  /// machine.
   void start(std::size_t index) {
     Member& member = nodes_[index];
     member = Member{};
@@ -150,7 +152,7 @@
     member.claims = std::make_unique<ClaimNode>(
         settings_, *member.transport, *member.directory, *stores_[index], metrics_,
         [this, skew] {
-          return ClaimTime{network.now(), wallNow() + skew};
+          return ClaimTime{network.now(), trueWallTime() + skew};
         },
         network.random()());
     scheduleTick(index, self.incarnation);
@@ -162,43 +164,45 @@
   void setPaused(std::size_t index, bool paused) { nodes_[index].transport->setPaused(paused); }
   bool paused(std::size_t index) const { return nodes_[index].transport->paused(); }
 
-  /// The true time of day; each node's clock is ahead of it by up to the bound.
-  WallMilliseconds wallNow() const {
+  /// True wall time; the clock of each node is ahead of it by up to the clock bound.
+  WallMilliseconds trueWallTime() const {
     constexpr WallMilliseconds kStart = 1'700'000'000'000;
     const auto elapsed = network.now().time_since_epoch();
     return kStart +
            static_cast<WallMilliseconds>(std::chrono::duration_cast<Milliseconds>(elapsed).count());
   }
-  /// A key made `lead` ms after (before, if negative) the true time.
+  /// Creates a key with a timestamp `lead` ms after the true time (before it, if negative).
   ClaimKey makeKey(std::int64_t lead) {
-    const auto time = static_cast<WallMilliseconds>(static_cast<std::int64_t>(wallNow()) + lead);
+    const auto time =
+        static_cast<WallMilliseconds>(static_cast<std::int64_t>(trueWallTime()) + lead);
     const std::string text = makeUuidV7(time, network.random()(), network.random()());
     return parseClaimKey(TenantId("t"), text).value();
   }
-  /// A node asks for the claim; a granted one is a dispatch, with an answer after `workTime`.
+  /// Requests a claim on a node. A granted claim counts as a dispatch and completes after
+  /// `workTime`.
   void request(std::size_t index, const ClaimKey& key, Milliseconds workTime) {
-    const Incarnation life = nodes_[index].directory->self().incarnation;
-    node(index).claim(key, [this, index, key, workTime, life](const ClaimResult& result) {
+    const Incarnation incarnation = nodes_[index].directory->self().incarnation;
+    node(index).claim(key, [this, index, key, workTime, incarnation](const ClaimResult& result) {
       ++verdicts[result.verdict];
       lastVerdict[key] = result.verdict;
       if (result.verdict != ClaimVerdict::kGranted) {
         return;
       }
       ++dispatches[key];
-      network.schedule(workTime, [this, index, key, life, token = result.token] {
-        if (running(index) && nodes_[index].directory->self().incarnation == life &&
+      network.schedule(workTime, [this, index, key, incarnation, token = result.token] {
+        if (running(index) && nodes_[index].directory->self().incarnation == incarnation &&
             !paused(index)) {
           node(index).complete(key, token, StoredOutcome{200, "text/plain", true, "done"});
         }
       });
     });
   }
-  int mostDispatchesOfAKey() const {
-    int most = 0;
+  int maxDispatchesOfAnyKey() const {
+    int maximum = 0;
     for (const auto& entry : dispatches) {
-      most = std::max(most, entry.second);
+      maximum = std::max(maximum, entry.second);
     }
-    return most;
+    return maximum;
   }
 
   SimulatedNetwork network;
@@ -214,16 +218,16 @@
   };
 
   static NodeId idOf(std::size_t index) { return NodeId("n" + std::to_string(index)); }
-  void scheduleTick(std::size_t index, Incarnation life) {
+  void scheduleTick(std::size_t index, Incarnation incarnation) {
     constexpr Milliseconds kTick{10};
-    network.schedule(kTick, [this, index, life] {
-      if (!running(index) || nodes_[index].directory->self().incarnation != life) {
+    network.schedule(kTick, [this, index, incarnation] {
+      if (!running(index) || nodes_[index].directory->self().incarnation != incarnation) {
         return;
       }
       if (!paused(index)) {
         node(index).tick();
       }
-      scheduleTick(index, life);
+      scheduleTick(index, incarnation);
     });
   }
 
@@ -237,15 +241,15 @@
   std::vector<Member> nodes_;
 };
 
-/// Settings with short times, so that a schedule of a few seconds meets every rule.
-inline ClaimSettings quickSettings() {
+/// Settings with short timeouts, so that a schedule of a few seconds exercises every rule.
+inline ClaimSettings shortTimeoutSettings() {
   ClaimSettings settings;
   settings.clockBound = Milliseconds(100);
   settings.retention = Milliseconds(8000);
   settings.claimTimeout = Milliseconds(200);
   settings.claimRetransmit = Milliseconds(30);
   settings.viewChangeDelay = Milliseconds(200);
-  settings.storePause = Milliseconds(50);
+  settings.storeInterval = Milliseconds(50);
   settings.joinInterval = Milliseconds(30);
   return settings;
 }
