--- a/src/quota/messages.h
+++ b/src/quota/messages.h
@@ -6,31 +6,33 @@
 
 #include "common/strong_type.h"
 
-/// How the nodes keep each tenant's limit together: what a node asks another for, and its answer.
+/// Messages with which the nodes enforce each tenant's limit together: claims and the replies to
+/// them.
 namespace calicodrift::quota {
 
-/// Names a tenant between nodes in few bytes: the hash of its id.
+/// Compact identifier of a tenant in messages: the hash of its id.
 using TenantKey = StrongType<struct TenantKeyTag, std::uint64_t>;
 
-/// One request that wants to pass under its tenant's limit.
+/// Claim of the units of one request against the limit of its tenant.
 struct Claim {
   TenantKey tenant;
-  /// In the limit's unit; granted as a whole or not at all.
+  /// In units of the limit; granted as a whole or not at all.
   std::uint32_t units = 0;
-  /// What the asker would take beyond that for requests that it expects soon.
-  std::uint32_t ahead = 0;
+  /// Additional units that the sender requests in advance for requests that it expects soon.
+  std::uint32_t prefetch = 0;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(tenant, units, ahead);
+    archive(tenant, units, prefetch);
   }
 };
 
 struct ClaimBatch {
   std::vector<Claim> claims;
-  /// Nodes that the batch has come through. Bounded, so that no circle of nodes asks for ever.
+  /// Number of nodes that the batch has passed through. Bounded, so that a cycle of nodes does not
+  /// forward a claim forever.
   std::uint32_t hops = 0;
-  /// The sender is a root: the receiver answers from what it has and asks nobody.
+  /// True if the sender is a root: the receiver replies from its own content and forwards nothing.
   bool fromRoot = false;
 
   template <typename Archive>
@@ -39,21 +41,23 @@
   }
 };
 
-/// The answer to one claim.
+/// Reply to one claim.
 struct ClaimAnswer {
-  /// 0: granted; else until the tenant's limit has room again.
+  /// 0 if the claim was granted, otherwise the time in milliseconds until the limit has capacity
+  /// again.
   std::uint32_t waitMs = 0;
-  /// Granted beyond the claim, and how long that is good, from when the claim was sent.
-  std::uint32_t ahead = 0;
-  std::uint32_t aheadTermMs = 0;
+  /// Units granted in advance beyond the claim, and their lifetime from the time the claim was
+  /// sent.
+  std::uint32_t prefetch = 0;
+  std::uint32_t prefetchTermMs = 0;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(waitMs, ahead, aheadTermMs);
+    archive(waitMs, prefetch, prefetchTermMs);
   }
 };
 
-/// One answer for each claim of the batch, in its order.
+/// Answers to the claims of a batch, in the order of the claims.
 struct ClaimReply {
   std::vector<ClaimAnswer> answers;
 
--- a/src/quota/metrics.cc
+++ b/src/quota/metrics.cc
@@ -19,11 +19,12 @@
       unreached_(counterFamily(registry, "calicodrift_quota_unreached_total",
                                "Claims that no other node answered")
                      .Add({})),
-      batches_(counterFamily(registry, "calicodrift_quota_batches_total",
-                             "Batches of claims sent to another node, by whether it answered")
-                   .Add({{"answered", "true"}})),
-      silentBatches_(counterFamily(registry, "calicodrift_quota_batches_total", "")
-                         .Add({{"answered", "false"}})),
+      answeredBatches_(
+          counterFamily(registry, "calicodrift_quota_batches_total",
+                        "Batches of claims sent to another node, by whether it answered")
+              .Add({{"answered", "true"}})),
+      unansweredBatches_(counterFamily(registry, "calicodrift_quota_batches_total", "")
+                             .Add({{"answered", "false"}})),
       borrowed_(counterFamily(registry, "calicodrift_quota_borrowed_units_total",
                               "Units borrowed from roots of other groups")
                     .Add({})),
@@ -42,7 +43,7 @@
 }
 
 void QuotaMetrics::countBatch(bool answered) {
-  (answered ? batches_ : silentBatches_).Increment();
+  (answered ? answeredBatches_ : unansweredBatches_).Increment();
 }
 
 }  // namespace calicodrift::quota
--- a/src/quota/metrics.h
+++ b/src/quota/metrics.h
@@ -6,18 +6,19 @@
 
 namespace calicodrift::quota {
 
-/// All counters of the quota module. By tenant: as many as the configuration has with a limit.
+/// All metrics of the quota module. The number of tenant labels is the number of configured tenants
+/// with a limit.
 class QuotaMetrics {
  public:
   explicit QuotaMetrics(prometheus::Registry& registry);
 
   void countAdmitted(const std::string& tenant, double units);
   void countRefused(const std::string& tenant, double units);
-  /// A request passed, or not, by what the node was granted before it lost its sources.
+  /// Counts a claim that was decided from units granted earlier because no source was reachable.
   void countUnreached() { unreached_.Increment(); }
-  /// Batches sent to a source, and those that no source answered.
+  /// Counts a batch of claims, by whether any source replied to it.
   void countBatch(bool answered);
-  /// Units that came from roots of other groups.
+  /// Counts units borrowed from roots of other groups.
   void countBorrowed(double units) { borrowed_.Increment(units); }
   void observeWait(double seconds) { wait_.Observe(seconds); }
 
@@ -25,8 +26,8 @@
   prometheus::Family<prometheus::Counter>& admitted_;
   prometheus::Family<prometheus::Counter>& refused_;
   prometheus::Counter& unreached_;
-  prometheus::Counter& batches_;
-  prometheus::Counter& silentBatches_;
+  prometheus::Counter& answeredBatches_;
+  prometheus::Counter& unansweredBatches_;
   prometheus::Counter& borrowed_;
   prometheus::Histogram& wait_;
 };
--- a/src/quota/quota_core.cc
+++ b/src/quota/quota_core.cc
@@ -9,15 +9,15 @@
 namespace calicodrift::quota {
 namespace {
 
-/// A process that has not come to its pulse for so long was frozen, or as good as that. Others may
-/// have taken its place as a root meanwhile.
-constexpr Milliseconds kLongestSilence{1000};
-/// Where nothing is known of the time until there is room.
+/// A process that has not refreshed its role for this long was stalled. Other nodes may have
+/// replaced it as a root in the meantime.
+constexpr Milliseconds kStallThreshold{1000};
+/// Wait time if the time until capacity is available is unknown.
 constexpr Milliseconds kUnknownWait{250};
 
 std::uint32_t toUnits(double units) {
-  constexpr double kMost = std::numeric_limits<std::uint32_t>::max();
-  return static_cast<std::uint32_t>(std::clamp(std::ceil(units), 0.0, kMost));
+  constexpr double kMax = std::numeric_limits<std::uint32_t>::max();
+  return static_cast<std::uint32_t>(std::clamp(std::ceil(units), 0.0, kMax));
 }
 
 }  // namespace
@@ -36,25 +36,25 @@
     const auto [entry, isNew] = accounts_.try_emplace(key, bounds_, limit, now);
     entry->second.setLimit(bounds_, limit, now);
     if (isNew) {
-      entry->second.setPlace(place_.place, place_.part, now);
+      entry->second.setRole(role_.role, role_.share, now);
     }
   }
 }
 
-void QuotaCore::setPlace(const NodePlace& place, MonotonicTime now) {
-  const bool stoodStill = pulsedAt_ != MonotonicTime{} && now - pulsedAt_ > kLongestSilence;
-  pulsedAt_ = now;
-  place_ = place;
+void QuotaCore::setRole(const NodePlace& role, MonotonicTime now) {
+  const bool stalled = refreshedAt_ != MonotonicTime{} && now - refreshedAt_ > kStallThreshold;
+  refreshedAt_ = now;
+  role_ = role;
   for (auto& entry : accounts_) {
-    entry.second.setPlace(place.place, place.part, now);
-    if (stoodStill) {
-      entry.second.forgetHeld(now);
+    entry.second.setRole(role.role, role.share, now);
+    if (stalled) {
+      entry.second.discardHeld(now);
     }
   }
 }
 
 Decision QuotaCore::claim(TenantKey tenant, double units, MonotonicTime now) {
-  TenantAccount* account = accountOf(tenant);
+  TenantAccount* account = findAccount(tenant);
   if (account == nullptr) {
     return {Verdict::kGranted, Milliseconds(0)};
   }
@@ -65,8 +65,8 @@
   Claim claim;
   claim.tenant = tenant;
   claim.units = toUnits(units);
-  if (TenantAccount* account = accountOf(tenant)) {
-    claim.ahead = toUnits(account->wantedAhead(now));
+  if (TenantAccount* account = findAccount(tenant)) {
+    claim.prefetch = toUnits(account->prefetchDemand(now));
   }
   return claim;
 }
@@ -74,9 +74,9 @@
 Decision QuotaCore::onAnswer(const Claim& claim, const ClaimAnswer& answer, MonotonicTime sent,
                              MonotonicTime now) {
   lastContact_ = now;
-  TenantAccount* account = accountOf(claim.tenant);
+  TenantAccount* account = findAccount(claim.tenant);
   if (account != nullptr) {
-    static_cast<void>(account->takeGrantedAhead(claim, answer, sent));
+    static_cast<void>(account->acceptPrefetch(claim, answer, sent));
   }
   if (answer.waitMs == 0) {
     if (account != nullptr) {
@@ -86,7 +86,7 @@
   }
   Milliseconds wait(answer.waitMs);
   if (account != nullptr) {
-    if (place_.place == Place::kRoot) {
+    if (role_.role == Place::kRoot) {
       wait = std::min(wait, account->waitFor(claim.units, now));
     }
     account->onRefused(wait, now);
@@ -94,12 +94,13 @@
   return {Verdict::kRefused, wait};
 }
 
-Decision QuotaCore::onSilence(TenantKey tenant, double units, MonotonicTime now) {
-  TenantAccount* account = accountOf(tenant);
-  if (account != nullptr && place_.place == Place::kRoot) {
+Decision QuotaCore::onNoReply(TenantKey tenant, double units, MonotonicTime now) {
+  TenantAccount* account = findAccount(tenant);
+  if (account != nullptr && role_.role == Place::kRoot) {
     return {Verdict::kRefused, account->waitFor(units, now)};
   }
-  const bool passes = account == nullptr || account->claimAsIsland(units, lastContact_, now);
+  const bool passes =
+      account == nullptr || account->claimWhileDisconnected(units, lastContact_, now);
   return {passes ? Verdict::kGranted : Verdict::kRefused, passes ? Milliseconds(0) : kUnknownWait};
 }
 
@@ -109,40 +110,40 @@
     answer.waitMs = static_cast<std::uint32_t>(std::max<std::int64_t>(1, decision.wait.count()));
     return answer;
   }
-  if (TenantAccount* account = accountOf(claim.tenant)) {
-    answer.ahead = static_cast<std::uint32_t>(account->grantAhead(claim.ahead, now));
-    answer.aheadTermMs = static_cast<std::uint32_t>(account->aheadTerm().count());
+  if (TenantAccount* account = findAccount(claim.tenant)) {
+    answer.prefetch = static_cast<std::uint32_t>(account->grantPrefetch(claim.prefetch, now));
+    answer.prefetchTermMs = static_cast<std::uint32_t>(account->prefetchTerm().count());
   }
   return answer;
 }
 
-std::vector<Claim> QuotaCore::toBorrow(std::size_t lenders, MonotonicTime now) {
+std::vector<Claim> QuotaCore::borrowClaims(std::size_t lenders, MonotonicTime now) {
   std::vector<Claim> claims;
-  if (place_.place != Place::kRoot || lenders == 0) {
+  if (role_.role != Place::kRoot || lenders == 0) {
     return claims;
   }
   for (auto& [key, account] : accounts_) {
-    const double wanted = account.wantedToBorrow(now);
-    if (wanted >= 1) {
-      claims.push_back({key, 0, toUnits(wanted / static_cast<double>(lenders))});
+    const double requested = account.borrowDemand(now);
+    if (requested >= 1) {
+      claims.push_back({key, 0, toUnits(requested / static_cast<double>(lenders))});
     }
   }
   return claims;
 }
 
 double QuotaCore::onBorrowed(const Claim& claim, const ClaimAnswer& answer, MonotonicTime sent) {
-  TenantAccount* account = accountOf(claim.tenant);
-  const bool lent = account != nullptr && answer.waitMs == 0;
-  return lent ? account->takeGrantedAhead(claim, answer, sent) : 0;
+  TenantAccount* account = findAccount(claim.tenant);
+  const bool granted = account != nullptr && answer.waitMs == 0;
+  return granted ? account->acceptPrefetch(claim, answer, sent) : 0;
 }
 
 void QuotaCore::giveBack(TenantKey tenant, double units, MonotonicTime now) {
-  if (TenantAccount* account = accountOf(tenant)) {
+  if (TenantAccount* account = findAccount(tenant)) {
     account->giveBack(units, now);
   }
 }
 
-TenantAccount* QuotaCore::accountOf(TenantKey tenant) {
+TenantAccount* QuotaCore::findAccount(TenantKey tenant) {
   const auto found = accounts_.find(tenant);
   return found == accounts_.end() ? nullptr : &found->second;
 }
--- a/src/quota/quota_core.h
+++ b/src/quota/quota_core.h
@@ -12,63 +12,64 @@
 
 TenantKey keyOf(const TenantId& tenant);
 
-/// Where a node stands, and what part of each limit it mints there.
+/// Role of a node and the share of each limit that it issues in that role.
 struct NodePlace {
-  Place place = Place::kIsland;
-  double part = 0;
+  Place role = Place::kIsland;
+  double share = 0;
 };
 
-/// The limits of all tenants at one node. No I/O; calls are told the time.
+/// Enforces the limits of all tenants at one node. Performs no I/O; the current time is passed to
+/// every call.
 ///
-/// The nodes form the tree in which they read the store. Its roots mint each limit, every one its
-/// part of it: rate and burst divided by their number. A node passes a request where it holds
-/// enough, else it claims the units from its source, which is its parent, and for a root another
-/// root. So the roots together let through what the limit allows, wherever in the tree the
-/// tenant's requests come in, and no node needs to know how many there are.
+/// The nodes form the tree through which they read the store. Its roots issue the units of each
+/// limit, each an equal share of rate and burst. A node grants a request if it holds enough units
+/// and otherwise claims them from its source, which is its parent, or for a root another root. The
+/// roots together therefore grant what the limit allows, regardless of where in the tree the
+/// requests of a tenant arrive, and no node needs to know the number of nodes.
 class QuotaCore {
  public:
   explicit QuotaCore(QuotaBounds bounds) : bounds_(bounds) {}
 
-  /// The limits in force; a tenant that is not named has none.
+  /// Replaces the limits; a tenant that is not listed is unlimited.
   void applyLimits(const std::map<TenantId, TenantLimit>& limits, MonotonicTime now);
-  /// To be called often, at least every kPulse, also where nothing has changed: a longer silence
-  /// shows that the process stood still.
-  void setPlace(const NodePlace& place, MonotonicTime now);
+  /// Sets the role of this node. Must be called at least every kPulse, also if nothing has changed:
+  /// a longer interval between calls means that the process was stalled.
+  void setRole(const NodePlace& role, MonotonicTime now);
 
-  /// Whether any tenant has a limit.
+  /// True if any tenant has a limit.
   bool limitsAny() const { return !accounts_.empty(); }
   bool limits(TenantKey tenant) const { return accounts_.contains(tenant); }
-  /// Decides on a claim; tenants without a limit pass.
+  /// Decides on a claim; tenants without a limit are always granted.
   Decision claim(TenantKey tenant, double units, MonotonicTime now);
-  /// What is sent for a claim that this node can't decide.
+  /// Message for a claim that this node cannot decide by itself.
   Claim toMessage(TenantKey tenant, double units, MonotonicTime now);
-  /// The source's answer to a claim that was sent at `sent`.
+  /// Handles the source's answer to a claim that was sent at `sent`.
   Decision onAnswer(const Claim& claim, const ClaimAnswer& answer, MonotonicTime sent,
                     MonotonicTime now);
-  /// No source could be reached.
-  Decision onSilence(TenantKey tenant, double units, MonotonicTime now);
-  /// What another node gets for its claim, once this node has decided on it.
+  /// Decides on a claim if no source could be reached.
+  Decision onNoReply(TenantKey tenant, double units, MonotonicTime now);
+  /// Answer to the claim of another node, once this node has decided on it.
   ClaimAnswer toAnswer(const Claim& claim, const Decision& decision, MonotonicTime now);
-  /// As a root: claims for what its own part of the limits lacks, where each of so many roots of
-  /// other groups is asked for an even part of it. They ask for units ahead only: what comes is
-  /// void after the term that these have.
-  std::vector<Claim> toBorrow(std::size_t lenders, MonotonicTime now);
-  /// @return the units that were borrowed.
+  /// On a root: claims for the units that its own share of the limits lacks, divided evenly among
+  /// the given number of roots of other groups. They request units in advance only, so that what is
+  /// received expires after the prefetch term.
+  std::vector<Claim> borrowClaims(std::size_t lenders, MonotonicTime now);
+  /// @return the number of borrowed units.
   double onBorrowed(const Claim& claim, const ClaimAnswer& answer, MonotonicTime sent);
   void giveBack(TenantKey tenant, double units, MonotonicTime now);
 
-  const NodePlace& place() const { return place_; }
-  /// Null where the tenant has no limit.
-  TenantAccount* accountOf(TenantKey tenant);
+  const NodePlace& role() const { return role_; }
+  /// Returns null if the tenant has no limit.
+  TenantAccount* findAccount(TenantKey tenant);
 
-  static constexpr Milliseconds kPulse{250};
+  static constexpr Milliseconds kRoleRefreshInterval{250};
 
  private:
   QuotaBounds bounds_;
-  NodePlace place_;
+  NodePlace role_;
   std::unordered_map<TenantKey, TenantAccount> accounts_;
-  MonotonicTime pulsedAt_{};
-  /// When a source answered last.
+  MonotonicTime refreshedAt_{};
+  /// Time of the last answer from a source.
   MonotonicTime lastContact_{};
 };
 
--- a/src/quota/quota_node.cc
+++ b/src/quota/quota_node.cc
@@ -14,15 +14,15 @@
 
 namespace {
 
-/// As deep as the tree may be; a batch that has come further goes in a circle.
-constexpr std::uint32_t kMostHops = 12;
-/// Roots that are asked where the parent is silent.
-constexpr std::size_t kMostRootsAsked = 2;
-/// A silent source is asked again after the time in which the tree finds another one.
-constexpr Milliseconds kSilencePause{300};
-/// The same for a lender: a region that is cut off stays so for longer.
-constexpr Milliseconds kLenderSilencePause{2000};
-/// Told where a claim got no decision.
+/// Maximum depth of the tree; a batch that has passed through more nodes is in a cycle.
+constexpr std::uint32_t kMaxHops = 12;
+/// Number of roots that are tried if the parent does not respond.
+constexpr std::size_t kMaxRootsTried = 2;
+/// An unresponsive source is tried again after the time in which the tree finds another one.
+constexpr Milliseconds kSourceBackoff{300};
+/// Backoff for an unresponsive lender: a partitioned region stays partitioned for longer.
+constexpr Milliseconds kLenderBackoff{2000};
+/// Wait time reported for a claim that was not decided.
 constexpr Milliseconds kUndecidedWait{250};
 
 }  // namespace
@@ -32,17 +32,17 @@
     : context_(std::move(context)), core_(bounds), metrics_(metrics), random_(seed) {}
 
 void QuotaNode::start() {
-  asio::co_spawn(context_.executor, pulse(), asio::detached);
+  asio::co_spawn(context_.executor, refreshRolePeriodically(), asio::detached);
   if (context_.lenders) {
     asio::co_spawn(context_.executor, borrow(), asio::detached);
   }
 }
 
-awaitable<void> QuotaNode::pulse() {
+awaitable<void> QuotaNode::refreshRolePeriodically() {
   asio::steady_timer timer(context_.executor);
   for (;;) {
-    refreshPlace(monotonicNow());
-    timer.expires_after(QuotaCore::kPulse);
+    refreshRole(monotonicNow());
+    timer.expires_after(QuotaCore::kRoleRefreshInterval);
     co_await timer.async_wait(asio::use_awaitable);
   }
 }
@@ -52,14 +52,14 @@
   for (;;) {
     timer.expires_after(kBorrowInterval);
     co_await timer.async_wait(asio::use_awaitable);
-    if (core_.toBorrow(1, monotonicNow()).empty()) {
+    if (core_.borrowClaims(1, monotonicNow()).empty()) {
       continue;
     }
     const std::vector<Endpoint> known = co_await context_.lenders();
     const std::vector<Endpoint> lenders = idleLenders(known);
-    const std::vector<Claim> claims = core_.toBorrow(lenders.size(), monotonicNow());
+    const std::vector<Claim> claims = core_.borrowClaims(lenders.size(), monotonicNow());
     for (const Endpoint& lender : lenders) {
-      if (!claims.empty() && asked_.insert(lender).second) {
+      if (!claims.empty() && pendingLenders_.insert(lender).second) {
         asio::co_spawn(context_.executor, borrowFrom(lender, claims), asio::detached);
       }
     }
@@ -70,9 +70,9 @@
   const MonotonicTime now = monotonicNow();
   std::vector<Endpoint> idle;
   for (const Endpoint& lender : lenders) {
-    const auto silent = silentUntil_.find(lender);
-    const bool answers = silent == silentUntil_.end() || now >= silent->second;
-    if (answers && !asked_.contains(lender)) {
+    const auto unresponsive = unresponsiveUntil_.find(lender);
+    const bool answers = unresponsive == unresponsiveUntil_.end() || now >= unresponsive->second;
+    if (answers && !pendingLenders_.contains(lender)) {
       idle.push_back(lender);
     }
   }
@@ -86,14 +86,14 @@
   const MonotonicTime sent = monotonicNow();
   const Result<ClaimReply> reply = co_await peer::callPeer<ClaimReply>(
       context_.client, lender, kClaimPath, message, kLenderTimeout, kLenderTimeout);
-  asked_.erase(lender);
+  pendingLenders_.erase(lender);
   const bool answered = reply && reply.value().answers.size() == claims.size();
   metrics_.countBatch(answered);
   if (!answered) {
-    silentUntil_[lender] = monotonicNow() + kLenderSilencePause;
+    unresponsiveUntil_[lender] = monotonicNow() + kLenderBackoff;
     co_return;
   }
-  silentUntil_.erase(lender);
+  unresponsiveUntil_.erase(lender);
   double borrowed = 0;
   for (std::size_t index = 0; index < claims.size(); ++index) {
     borrowed += core_.onBorrowed(claims[index], reply.value().answers[index], sent);
@@ -111,10 +111,10 @@
     co_return QuotaVerdict{};
   }
   const MonotonicTime begin = monotonicNow();
-  refreshPlace(begin);
+  refreshRole(begin);
   Decision decision = core_.claim(key, units, begin);
-  if (decision.verdict == Verdict::kAsk) {
-    decision = co_await decisionOf(enqueue(core_.toMessage(key, units, begin), 0));
+  if (decision.verdict == Verdict::kAskSource) {
+    decision = co_await awaitDecision(enqueue(core_.toMessage(key, units, begin), 0));
     constexpr double kMsPerSecond = 1000.0;
     metrics_.observeWait(toMilliseconds(monotonicNow() - begin) / kMsPerSecond);
   }
@@ -131,14 +131,14 @@
   QuotaVerdict verdict;
   verdict.granted = false;
   verdict.comeBack = limits::spreadReturn(wait, random_);
-  if (TenantAccount* account = core_.accountOf(tenant)) {
+  if (TenantAccount* account = core_.findAccount(tenant)) {
     const auto whole = [](double units) { return std::to_string(std::llround(units)); };
-    const auto age = std::chrono::duration_cast<Milliseconds>(now - answeredAt_);
+    const auto age = std::chrono::duration_cast<Milliseconds>(now - lastAnswerAt_);
     verdict.facts =
-        "limit " + whole(account->limit().unitsPerSecond) + "/s, asked here " +
+        "limit " + whole(account->limit().unitsPerSecond) + "/s, requested here " +
         whole(account->demandAt(now)) + "/s, granted here " + whole(account->grantedAt(now)) +
-        "/s, held " + whole(account->heldAt(now)) + ", last answer " +
-        (answeredAt_ == MonotonicTime{} ? "never" : std::to_string(age.count()) + " ms ago");
+        "/s, available here " + whole(account->heldAt(now)) + ", last source reply " +
+        (lastAnswerAt_ == MonotonicTime{} ? "never" : std::to_string(age.count()) + " ms ago");
   }
   return verdict;
 }
@@ -147,8 +147,9 @@
   core_.giveBack(keyOf(tenant), units, monotonicNow());
 }
 
-std::shared_ptr<QuotaNode::Waiting> QuotaNode::enqueue(const Claim& claim, std::uint32_t hops) {
-  auto waiting = std::make_shared<Waiting>(context_.executor, claim);
+std::shared_ptr<QuotaNode::PendingClaim> QuotaNode::enqueue(const Claim& claim,
+                                                            std::uint32_t hops) {
+  auto waiting = std::make_shared<PendingClaim>(context_.executor, claim);
   waiting->hops = hops;
   waiting->decided.expires_at(asio::steady_timer::time_point::max());
   pending_.push_back(waiting);
@@ -158,7 +159,7 @@
   return waiting;
 }
 
-awaitable<Decision> QuotaNode::decisionOf(std::shared_ptr<Waiting> waiting) {
+awaitable<Decision> QuotaNode::awaitDecision(std::shared_ptr<PendingClaim> waiting) {
   if (!waiting->decision) {
     co_await waiting->decided.async_wait(asio::as_tuple(asio::use_awaitable));
   }
@@ -167,57 +168,57 @@
 
 awaitable<void> QuotaNode::sendBatches() {
   while (!pending_.empty()) {
-    co_await settle(std::exchange(pending_, {}));
+    co_await resolveBatch(std::exchange(pending_, {}));
   }
   sending_ = false;
 }
 
-awaitable<void> QuotaNode::settle(WaitingList batch) {
+awaitable<void> QuotaNode::resolveBatch(PendingClaims batch) {
   ClaimBatch message;
-  message.fromRoot = core_.place().place == Place::kRoot;
+  message.fromRoot = core_.role().role == Place::kRoot;
   for (const auto& waiting : batch) {
     message.claims.push_back(waiting->claim);
     message.hops = std::max(message.hops, waiting->hops + 1);
   }
   const MonotonicTime sent = monotonicNow();
-  const Result<ClaimReply> reply = co_await ask(std::move(message));
+  const Result<ClaimReply> reply = co_await sendToSource(std::move(message));
   const MonotonicTime now = monotonicNow();
   const bool answered = reply && reply.value().answers.size() == batch.size();
   metrics_.countBatch(answered);
   if (answered) {
-    answeredAt_ = now;
+    lastAnswerAt_ = now;
   }
   for (std::size_t index = 0; index < batch.size(); ++index) {
-    Waiting& waiting = *batch[index];
+    PendingClaim& waiting = *batch[index];
     if (answered) {
       waiting.decision = core_.onAnswer(waiting.claim, reply.value().answers[index], sent, now);
     } else {
       metrics_.countUnreached();
-      waiting.decision = core_.onSilence(waiting.claim.tenant, waiting.claim.units, now);
+      waiting.decision = core_.onNoReply(waiting.claim.tenant, waiting.claim.units, now);
     }
     waiting.decided.cancel();
   }
 }
 
-awaitable<Result<ClaimReply>> QuotaNode::ask(ClaimBatch message) {
+awaitable<Result<ClaimReply>> QuotaNode::sendToSource(ClaimBatch message) {
   for (const Endpoint& source : sources()) {
     Result<ClaimReply> reply = co_await peer::callPeer<ClaimReply>(
         context_.client, source, kClaimPath, message, kSourceTimeout, kSourceTimeout);
     if (reply) {
-      silentUntil_.erase(source);
+      unresponsiveUntil_.erase(source);
       co_return reply;
     }
-    silentUntil_[source] = monotonicNow() + kSilencePause;
+    unresponsiveUntil_[source] = monotonicNow() + kSourceBackoff;
   }
-  co_return fail(ErrorKind::kNoBackend, "no other node answers for limits");
+  co_return fail(ErrorKind::kNoBackend, "no quota source replied");
 }
 
 std::vector<Endpoint> QuotaNode::sources() const {
   const MonotonicTime now = monotonicNow();
   std::vector<Endpoint> found;
   const auto add = [this, now, &found](const Endpoint& source) {
-    const auto silent = silentUntil_.find(source);
-    const bool usable = silent == silentUntil_.end() || now >= silent->second;
+    const auto unresponsive = unresponsiveUntil_.find(source);
+    const bool usable = unresponsive == unresponsiveUntil_.end() || now >= unresponsive->second;
     if (usable && std::find(found.begin(), found.end(), source) == found.end()) {
       found.push_back(source);
     }
@@ -225,9 +226,9 @@
   if (const std::optional<Endpoint> parent = context_.parent()) {
     add(*parent);
   }
-  std::size_t asked = 0;
+  std::size_t rootsTried = 0;
   for (const Endpoint& root : context_.roots()) {
-    if (asked++ < kMostRootsAsked) {
+    if (rootsTried++ < kMaxRootsTried) {
       add(root);
     }
   }
@@ -245,28 +246,28 @@
 }
 
 awaitable<ClaimReply> QuotaNode::answer(ClaimBatch batch) {
-  refreshPlace(monotonicNow());
-  const bool mayAsk = !batch.fromRoot && batch.hops <= kMostHops;
-  std::vector<std::shared_ptr<Waiting>> waiting(batch.claims.size());
+  refreshRole(monotonicNow());
+  const bool mayForward = !batch.fromRoot && batch.hops <= kMaxHops;
+  std::vector<std::shared_ptr<PendingClaim>> waiting(batch.claims.size());
   std::vector<Decision> decisions(batch.claims.size());
   for (std::size_t index = 0; index < batch.claims.size(); ++index) {
     const Claim& claim = batch.claims[index];
     const MonotonicTime now = monotonicNow();
-    // A root of another tree asks for units ahead only.
+    // Roots of other trees claim units in advance only.
     const bool borrows = batch.fromRoot && claim.units == 0;
     if (borrows && !mayLend()) {
-      decisions[index] = {Verdict::kRefused, kLenderSilencePause};
+      decisions[index] = {Verdict::kRefused, kLenderBackoff};
       continue;
     }
     decisions[index] = core_.claim(claim.tenant, claim.units, now);
-    if (decisions[index].verdict == Verdict::kAsk && mayAsk) {
+    if (decisions[index].verdict == Verdict::kAskSource && mayForward) {
       waiting[index] = enqueue(core_.toMessage(claim.tenant, claim.units, now), batch.hops);
     }
   }
   ClaimReply reply;
   for (std::size_t index = 0; index < batch.claims.size(); ++index) {
     if (waiting[index]) {
-      decisions[index] = co_await decisionOf(waiting[index]);
+      decisions[index] = co_await awaitDecision(waiting[index]);
     }
     reply.answers.push_back(core_.toAnswer(batch.claims[index], decisions[index], monotonicNow()));
   }
--- a/src/quota/quota_node.h
+++ b/src/quota/quota_node.h
@@ -22,37 +22,39 @@
 
 inline constexpr std::string_view kClaimPath = "/claims";
 
-/// What this node knows of the tree. All of it outlives the quota node, on one thread.
+/// Information about the tree. All referenced objects must outlive the quota node; callbacks run on
+/// its thread.
 struct QuotaNodeContext {
   boost::asio::any_io_executor executor;
   http::Client& client;
-  std::function<NodePlace()> place;
-  /// Whom a follower asks first.
+  std::function<NodePlace()> role;
+  /// Source that a follower tries first.
   std::function<std::optional<Endpoint>()> parent;
-  /// The roots of the tree but this node, as last heard.
+  /// Last known roots of the tree, excluding this node.
   std::function<std::vector<Endpoint>()> roots;
-  /// The roots of the other trees of the fleet; empty where there is one tree.
+  /// Roots of the other trees of the fleet; empty if there is only one tree.
   std::function<boost::asio::awaitable<std::vector<Endpoint>>()> lenders = nullptr;
-  /// How old the proof is that this node's view of the tree is the newest. Always needed where
-  /// there are lenders.
+  /// Age of the proof that this node's view of the tree is current. Required if there are lenders.
   std::function<Milliseconds()> viewAge = nullptr;
-  /// With an older view this node lends nothing: it may have been replaced as a root, and what it
-  /// would lend is minted by its successor too.
+  /// A node with an older view lends nothing: it may have been replaced as a root, and its
+  /// successor issues the same units.
   Milliseconds longestLendingAge{0};
 };
 
-/// What a request gets under its tenant's limit.
+/// Decision on a request under its tenant's limit.
 struct QuotaVerdict {
   bool granted = true;
-  /// Where it is refused: when to come back, spread over callers.
+  /// If refused: time after which to retry, randomized to spread retries over callers.
   Milliseconds comeBack{0};
-  /// For the log: the limit, what this node held, and how old the last answer of its source is.
+  /// For the log and the error message: the limit, the units available at this node, and the age of
+  /// the last answer from its source.
   std::string facts;
 };
 
-/// Keeps each tenant's limit together with the other nodes: claims what this node lacks, and
-/// answers the claims of others. While one batch of claims is under way the next ones are
-/// collected, so that a node has one question at a time, however many requests it serves.
+/// Enforces each tenant's limit together with the other nodes: claims the units that this node
+/// lacks, and answers the claims of other nodes. While one batch of claims is in flight, further
+/// claims are collected, so that a node has one batch in flight at a time, however many requests it
+/// serves.
 class QuotaNode {
  public:
   QuotaNode(QuotaNodeContext context, QuotaBounds bounds, QuotaMetrics& metrics,
@@ -60,51 +62,53 @@
 
   void start();
   void applyLimits(const std::map<TenantId, TenantLimit>& limits);
-  /// Whether any tenant has a limit.
+  /// True if any tenant has a limit.
   bool limitsAny() const { return core_.limitsAny(); }
-  /// Takes the units out of the tenant's limit. Waits for other nodes for kSourceTimeout a source
-  /// at most.
+  /// Takes `units` from the tenant's limit. Waits for other nodes for at most kSourceTimeout per
+  /// source.
   boost::asio::awaitable<QuotaVerdict> take(const TenantId& tenant, double units);
-  /// The request has not run after all.
+  /// Returns the units of a request that did not run.
   void giveBack(const TenantId& tenant, double units);
-  /// Answers another node's claims.
+  /// HTTP handler for the claims of other nodes.
   boost::asio::awaitable<void> handle(http::Request& request, http::ResponseWriter& writer);
 
-  /// For one source's answer: many times the way between two zones and back, over some nodes.
+  /// Timeout for the answer of one source: many times the round trip between two zones, over
+  /// several nodes.
   static constexpr Milliseconds kSourceTimeout{120};
-  /// For a lender's answer: some ways there and back between regions, where 160 ms is long.
+  /// Timeout for the answer of a lender: several round trips between regions, where 160 ms is long.
   static constexpr Milliseconds kLenderTimeout{600};
-  /// Between two questions to lenders: a few in each term of what they lend.
+  /// Interval between two claims to lenders: a few within each term of the borrowed units.
   static constexpr Milliseconds kBorrowInterval{100};
 
  private:
-  /// A claim that waits for a source, or has its decision.
-  struct Waiting {
-    Waiting(const boost::asio::any_io_executor& executor, Claim given)
+  /// A claim that is queued for a source or already decided.
+  struct PendingClaim {
+    PendingClaim(const boost::asio::any_io_executor& executor, Claim given)
         : claim(given), decided(executor) {}
 
     Claim claim;
     std::uint32_t hops = 0;
     std::optional<Decision> decision;
-    /// Cancelled when the decision is there.
+    /// Cancelled once `decision` is set.
     boost::asio::steady_timer decided;
   };
-  using WaitingList = std::vector<std::shared_ptr<Waiting>>;
+  using PendingClaims = std::vector<std::shared_ptr<PendingClaim>>;
 
-  boost::asio::awaitable<void> pulse();
-  /// Borrows from the roots of other trees what this root's part lacks, while nobody waits for it.
+  boost::asio::awaitable<void> refreshRolePeriodically();
+  /// Borrows from the roots of other trees what this root's share lacks. Runs in the background so
+  /// that no request waits for it.
   boost::asio::awaitable<void> borrow();
-  /// Lenders that answered of late and are not being asked now.
+  /// Lenders that responded recently and have no claim in flight.
   std::vector<Endpoint> idleLenders(const std::vector<Endpoint>& lenders) const;
   boost::asio::awaitable<void> borrowFrom(Endpoint lender, std::vector<Claim> claims);
-  void refreshPlace(MonotonicTime now) { core_.setPlace(context_.place(), now); }
+  void refreshRole(MonotonicTime now) { core_.setRole(context_.role(), now); }
   /// Queues a claim for the next batch.
-  std::shared_ptr<Waiting> enqueue(const Claim& claim, std::uint32_t hops);
-  boost::asio::awaitable<Decision> decisionOf(std::shared_ptr<Waiting> waiting);
+  std::shared_ptr<PendingClaim> enqueue(const Claim& claim, std::uint32_t hops);
+  boost::asio::awaitable<Decision> awaitDecision(std::shared_ptr<PendingClaim> waiting);
   boost::asio::awaitable<void> sendBatches();
-  boost::asio::awaitable<void> settle(WaitingList batch);
-  boost::asio::awaitable<Result<ClaimReply>> ask(ClaimBatch message);
-  /// Whom to ask, the nearest first.
+  boost::asio::awaitable<void> resolveBatch(PendingClaims batch);
+  boost::asio::awaitable<Result<ClaimReply>> sendToSource(ClaimBatch message);
+  /// Usable sources, nearest first.
   std::vector<Endpoint> sources() const;
   boost::asio::awaitable<ClaimReply> answer(ClaimBatch batch);
   bool mayLend() const;
@@ -114,13 +118,13 @@
   QuotaCore core_;
   QuotaMetrics& metrics_;
   std::mt19937_64 random_;
-  WaitingList pending_;
+  PendingClaims pending_;
   bool sending_ = false;
-  /// A source that was silent is passed over until then.
-  std::map<Endpoint, MonotonicTime> silentUntil_;
-  /// Lenders whose answer is awaited.
-  std::set<Endpoint> asked_;
-  MonotonicTime answeredAt_{};
+  /// Time until which an unresponsive source or lender is skipped.
+  std::map<Endpoint, MonotonicTime> unresponsiveUntil_;
+  /// Lenders with a claim in flight.
+  std::set<Endpoint> pendingLenders_;
+  MonotonicTime lastAnswerAt_{};
 };
 
 }  // namespace calicodrift::quota
--- a/src/quota/tenant_account.cc
+++ b/src/quota/tenant_account.cc
@@ -6,17 +6,18 @@
 namespace {
 
 constexpr double kMsPerSecond = 1000.0;
-/// Demand as it was over the last seconds: shorter than a wave of traffic, longer than the pauses
-/// between a node's requests of one tenant.
+/// Averaging window of the demand: shorter than a traffic wave, longer than the gaps between a
+/// node's requests of one tenant.
 constexpr Milliseconds kDemandWindow{2000};
-/// Claims that a term must bring for units ahead of them to be worth asking for.
-constexpr double kLeastClaimsAhead = 2;
-/// A root grants ahead out of the upper half of its content only, so that claims come first.
-constexpr double kKeptShare = 0.5;
-/// Told where this node can't know when there is room.
+/// Minimum number of claims expected per term for prefetching to be worthwhile.
+constexpr double kMinClaimsPerTerm = 2;
+/// A root grants units in advance only from the upper half of its content, so that claims take
+/// precedence.
+constexpr double kReservedFraction = 0.5;
+/// Wait time reported if this node cannot know when capacity is available.
 constexpr Milliseconds kUnknownWait{250};
-/// A refusal by the source holds for no longer, so that room that comes back is found soon.
-constexpr Milliseconds kLongestRefusal{100};
+/// Maximum time for which a refusal by the source holds, so that new capacity is found soon.
+constexpr Milliseconds kMaxRefusalTime{100};
 
 }  // namespace
 
@@ -37,64 +38,65 @@
   limit_ = limit;
   allowance_ = Allowance(bounds, limit);
   limitedSince_ = now;
-  ahead_.clear();
+  prefetched_.clear();
   refusedUntil_ = now;
-  applyPart(now);
+  applyShare(now);
 }
 
-void TenantAccount::setPlace(Place place, double part, MonotonicTime now) {
-  if (place == place_ && part == part_) {
+void TenantAccount::setRole(Place role, double share, MonotonicTime now) {
+  if (role == role_ && share == share_) {
     return;
   }
-  const bool becomesRoot = place == Place::kRoot && place_ != Place::kRoot;
-  place_ = place;
-  part_ = part;
+  const bool becomesRoot = role == Place::kRoot && role_ != Place::kRoot;
+  role_ = role;
+  share_ = share;
   refusedUntil_ = now;
-  applyPart(now);
+  applyShare(now);
   if (becomesRoot) {
-    minted_.setContent(allowance_.start * part_, now);
+    issued_.setContent(allowance_.initialContent * share_, now);
   }
 }
 
-void TenantAccount::applyPart(MonotonicTime now) {
-  minted_.setLimit(limit_.unitsPerSecond * part_, limit_.burst * part_, now);
+void TenantAccount::applyShare(MonotonicTime now) {
+  issued_.setLimit(limit_.unitsPerSecond * share_, limit_.burst * share_, now);
 }
 
-void TenantAccount::forgetHeld(MonotonicTime now) {
-  ahead_.clear();
-  islandSince_.reset();
-  if (place_ == Place::kRoot) {
-    minted_.setContent(std::min(minted_.contentAt(now), allowance_.start * part_), now);
+void TenantAccount::discardHeld(MonotonicTime now) {
+  prefetched_.clear();
+  disconnectedSince_.reset();
+  if (role_ == Place::kRoot) {
+    issued_.setContent(std::min(issued_.contentAt(now), allowance_.initialContent * share_), now);
   }
 }
 
 Decision TenantAccount::claim(double units, MonotonicTime now) {
   demand_.add(units, now);
   claims_.add(1, now);
-  if (takeAhead(units, now) ||
-      (place_ == Place::kRoot && minted_.tryTake(units, allowance_.debt, now))) {
+  if (takePrefetched(units, now) ||
+      (role_ == Place::kRoot && issued_.tryTake(units, allowance_.maxDebt, now))) {
     granted_.add(units, now);
     return {Verdict::kGranted, Milliseconds(0)};
   }
   if (now < refusedUntil_) {
     return {Verdict::kRefused, std::chrono::ceil<Milliseconds>(refusedUntil_ - now)};
   }
-  return {Verdict::kAsk, place_ == Place::kRoot ? minted_.waitFor(units, now) : kUnknownWait};
+  return {Verdict::kAskSource, role_ == Place::kRoot ? issued_.waitFor(units, now) : kUnknownWait};
 }
 
-bool TenantAccount::claimAsIsland(double units, MonotonicTime lastContact, MonotonicTime now) {
-  if (lastContact == MonotonicTime{} || now - lastContact > allowance_.islandTerm) {
+bool TenantAccount::claimWhileDisconnected(double units, MonotonicTime lastContact,
+                                           MonotonicTime now) {
+  if (lastContact == MonotonicTime{} || now - lastContact > allowance_.disconnectedTerm) {
     return false;
   }
-  if (islandSince_ != lastContact) {
-    islandSince_ = lastContact;
+  if (disconnectedSince_ != lastContact) {
+    disconnectedSince_ = lastContact;
     const double rate = std::min(granted_.perSecond(now), limit_.unitsPerSecond);
-    const double held = rate * toMilliseconds(allowance_.islandTerm) / kMsPerSecond;
+    const double held = rate * toMilliseconds(allowance_.disconnectedTerm) / kMsPerSecond;
     // Filled once for the whole term.
-    island_.setLimit(0, held, now);
-    island_.setContent(held, now);
+    disconnectedBucket_.setLimit(0, held, now);
+    disconnectedBucket_.setContent(held, now);
   }
-  return island_.tryTake(units, allowance_.start, now);
+  return disconnectedBucket_.tryTake(units, allowance_.initialContent, now);
 }
 
 void TenantAccount::onGranted(double units, MonotonicTime now) {
@@ -102,93 +104,93 @@
 }
 
 void TenantAccount::onRefused(Milliseconds wait, MonotonicTime now) {
-  refusedUntil_ = now + std::min(wait, kLongestRefusal);
+  refusedUntil_ = now + std::min(wait, kMaxRefusalTime);
 }
 
-void TenantAccount::addAhead(double units, MonotonicTime until) {
+void TenantAccount::addPrefetched(double units, MonotonicTime until) {
   if (units > 0) {
-    ahead_.push_back({units, until});
+    prefetched_.push_back({units, until});
   }
 }
 
-double TenantAccount::takeGrantedAhead(const Claim& claim, const ClaimAnswer& answer,
-                                       MonotonicTime sent) {
+double TenantAccount::acceptPrefetch(const Claim& claim, const ClaimAnswer& answer,
+                                     MonotonicTime sent) {
   if (sent < limitedSince_) {
     return 0;
   }
-  const double units = std::min(claim.ahead, answer.ahead);
-  const Milliseconds term = std::min(Milliseconds(answer.aheadTermMs), allowance_.aheadTerm);
-  addAhead(units, sent + term);
+  const double units = std::min(claim.prefetch, answer.prefetch);
+  const Milliseconds term = std::min(Milliseconds(answer.prefetchTermMs), allowance_.prefetchTerm);
+  addPrefetched(units, sent + term);
   return units;
 }
 
 void TenantAccount::giveBack(double units, MonotonicTime now) {
-  addAhead(units, now + allowance_.aheadTerm);
+  addPrefetched(units, now + allowance_.prefetchTerm);
 }
 
-double TenantAccount::wantedAhead(MonotonicTime now) {
-  const double termSeconds = toMilliseconds(allowance_.aheadTerm) / kMsPerSecond;
-  const bool worthwhile = claims_.perSecond(now) * termSeconds >= kLeastClaimsAhead;
-  if (place_ != Place::kFollower || !worthwhile || now < nextAhead_) {
+double TenantAccount::prefetchDemand(MonotonicTime now) {
+  const double termSeconds = toMilliseconds(allowance_.prefetchTerm) / kMsPerSecond;
+  const bool worthwhile = claims_.perSecond(now) * termSeconds >= kMinClaimsPerTerm;
+  if (role_ != Place::kFollower || !worthwhile || now < nextPrefetch_) {
     return 0;
   }
-  // Once in half a term, so that claims of one batch don't each ask for the same.
-  nextAhead_ = now + allowance_.aheadTerm / 2;
+  // At most once per half term, so that the claims of one batch do not each request the same units.
+  nextPrefetch_ = now + allowance_.prefetchTerm / 2;
   return std::max(0.0, demand_.perSecond(now) * termSeconds / 2 - heldAt(now));
 }
 
-double TenantAccount::grantAhead(double wanted, MonotonicTime now) {
-  if (place_ != Place::kRoot || wanted <= 0) {
+double TenantAccount::grantPrefetch(double requested, MonotonicTime now) {
+  if (role_ != Place::kRoot || requested <= 0) {
     return 0;
   }
-  const double spare = minted_.contentAt(now) - minted_.burst() * kKeptShare;
-  const double given = std::min(wanted, spare);
-  return given > 0 && minted_.tryTake(given, 0, now) ? given : 0;
+  const double spare = issued_.contentAt(now) - issued_.burst() * kReservedFraction;
+  const double given = std::min(requested, spare);
+  return given > 0 && issued_.tryTake(given, 0, now) ? given : 0;
 }
 
-double TenantAccount::wantedToBorrow(MonotonicTime now) {
-  const bool runsShort = minted_.contentAt(now) < minted_.burst() * kKeptShare;
-  if (place_ != Place::kRoot || !runsShort) {
+double TenantAccount::borrowDemand(MonotonicTime now) {
+  const bool runsShort = issued_.contentAt(now) < issued_.burst() * kReservedFraction;
+  if (role_ != Place::kRoot || !runsShort) {
     return 0;
   }
-  const double termSeconds = toMilliseconds(allowance_.aheadTerm) / kMsPerSecond;
+  const double termSeconds = toMilliseconds(allowance_.prefetchTerm) / kMsPerSecond;
   const double demand = std::min(demand_.perSecond(now), limit_.unitsPerSecond);
   return std::max(0.0, demand * termSeconds - std::max(0.0, heldAt(now)));
 }
 
 double TenantAccount::heldAt(MonotonicTime now) {
   dropExpired(now);
-  double held = place_ == Place::kRoot ? minted_.contentAt(now) : 0;
-  for (const Ahead& entry : ahead_) {
+  double held = role_ == Place::kRoot ? issued_.contentAt(now) : 0;
+  for (const PrefetchedUnits& entry : prefetched_) {
     held += entry.units;
   }
   return held;
 }
 
-bool TenantAccount::takeAhead(double units, MonotonicTime now) {
+bool TenantAccount::takePrefetched(double units, MonotonicTime now) {
   dropExpired(now);
   double sum = 0;
-  for (const Ahead& entry : ahead_) {
+  for (const PrefetchedUnits& entry : prefetched_) {
     sum += entry.units;
   }
   if (sum < units) {
     return false;
   }
   double left = units;
-  while (left > 0 && !ahead_.empty()) {
-    Ahead& first = ahead_.front();
+  while (left > 0 && !prefetched_.empty()) {
+    PrefetchedUnits& first = prefetched_.front();
     const double taken = std::min(first.units, left);
     first.units -= taken;
     left -= taken;
     if (first.units <= 0) {
-      ahead_.pop_front();
+      prefetched_.pop_front();
     }
   }
   return true;
 }
 
 void TenantAccount::dropExpired(MonotonicTime now) {
-  std::erase_if(ahead_, [now](const Ahead& entry) { return now >= entry.until; });
+  std::erase_if(prefetched_, [now](const PrefetchedUnits& entry) { return now >= entry.until; });
 }
 
 }  // namespace calicodrift::quota
--- a/src/quota/tenant_account.h
+++ b/src/quota/tenant_account.h
@@ -12,109 +12,112 @@
 
 namespace calicodrift::quota {
 
-/// A node's place where limits are concerned.
+/// Role of a node in the enforcement of limits.
 enum class Place {
-  /// Mints a part of each limit.
+  /// Issues a share of each limit.
   kRoot,
-  /// Asks its source.
+  /// Claims units from its source.
   kFollower,
-  /// Knows nobody to ask.
+  /// Has no source.
   kIsland,
 };
 
-enum class Verdict { kGranted, kRefused, kAsk };
+enum class Verdict { kGranted, kRefused, kAskSource };
 
-/// What a node may say of a claim by itself.
+/// Decision that a node can make on a claim by itself.
 struct Decision {
-  Verdict verdict = Verdict::kAsk;
-  /// kRefused: until there is room.
+  Verdict verdict = Verdict::kAskSource;
+  /// For kRefused: time until capacity is available.
   Milliseconds wait{0};
 };
 
-/// One node's part in one tenant's limit. No I/O; calls are told the time.
+/// One node's state of one tenant's limit. Performs no I/O; the current time is passed to every
+/// call.
 ///
-/// Invariant: what all nodes grant in a window comes from what roots minted in it, and the parts of
-/// Allowance. It holds because a follower grants nothing but what its source has taken out of its
-/// own content before it answered; an answer that is lost is lost to the tenant, not granted twice.
+/// Invariant: what all nodes grant in a window is at most what the roots issued in it plus the
+/// excess described by Allowance. It holds because a follower grants only units that its source
+/// removed from its own content before it answered. The units of a lost answer are lost to the
+/// tenant, not granted twice.
 class TenantAccount {
  public:
-  /// @param limitedSince when the limit came into force here.
+  /// @param limitedSince when the limit took effect at this node.
   TenantAccount(const QuotaBounds& bounds, const TenantLimit& limit,
                 MonotonicTime limitedSince = MonotonicTime{});
 
   void setLimit(const QuotaBounds& bounds, const TenantLimit& limit, MonotonicTime now);
-  /// @param part of the limit that this node mints as a root.
-  void setPlace(Place place, double part, MonotonicTime now);
-  /// The process stood still for a while: what it held before is not trusted.
-  void forgetHeld(MonotonicTime now);
+  /// @param share fraction of the limit that this node issues as a root.
+  void setRole(Place role, double share, MonotonicTime now);
+  /// Discards the units held before the process was stalled, which can no longer be relied on.
+  void discardHeld(MonotonicTime now);
 
-  /// Decides on a claim, and takes what it grants. kAsk: nothing is there; as a root, `wait` says
-  /// until when.
+  /// Decides on a claim and takes the units that it grants. kAsk means that too few units are
+  /// available; on a root, `wait` is the time until they are.
   Decision claim(double units, MonotonicTime now);
-  /// The source could not be reached: whether the claim passes by what this node was granted until
-  /// a moment ago.
-  bool claimAsIsland(double units, MonotonicTime lastContact, MonotonicTime now);
-  /// The source has answered a claim of `units`.
+  /// Decides on a claim while no source can be reached, based on the rate granted until the source
+  /// was lost. Returns whether the claim is granted.
+  bool claimWhileDisconnected(double units, MonotonicTime lastContact, MonotonicTime now);
+  /// Records that the source granted a claim of `units`.
   void onGranted(double units, MonotonicTime now);
   void onRefused(Milliseconds wait, MonotonicTime now);
-  void addAhead(double units, MonotonicTime until);
-  /// Adds what another node granted ahead for a claim that was sent at `sent`: no more than was
-  /// claimed, for no longer than the own term. Nothing where the limit has changed since then, as
-  /// what comes is of the old one. @return the units that were added.
-  double takeGrantedAhead(const Claim& claim, const ClaimAnswer& answer, MonotonicTime sent);
-  /// The request has not run after all.
+  void addPrefetched(double units, MonotonicTime until);
+  /// Adds the units that another node granted in advance for a claim sent at `sent`: at most what
+  /// was claimed, for at most the own prefetch term. Adds nothing if the limit has changed since
+  /// then, because the units belong to the old limit. @return the number of units added.
+  double acceptPrefetch(const Claim& claim, const ClaimAnswer& answer, MonotonicTime sent);
+  /// Returns the units of a request that did not run.
   void giveBack(double units, MonotonicTime now);
 
-  /// What to ask for beyond a claim.
-  double wantedAhead(MonotonicTime now);
-  /// As a root: what another node gets beyond its claim, and for how long.
-  double grantAhead(double wanted, MonotonicTime now);
-  Milliseconds aheadTerm() const { return allowance_.aheadTerm; }
-  /// As a root: what to borrow from the roots of other groups, as its own part doesn't cover the
-  /// demand.
-  double wantedToBorrow(MonotonicTime now);
-
-  /// As a root: until its own content covers the units.
+  /// Units to request in advance in addition to a claim.
+  double prefetchDemand(MonotonicTime now);
+  /// On a root: units granted in advance to another node beyond its claim, valid for
+  /// prefetchTerm().
+  double grantPrefetch(double requested, MonotonicTime now);
+  Milliseconds prefetchTerm() const { return allowance_.prefetchTerm; }
+  /// On a root: units to borrow from the roots of other groups, because its own share does not
+  /// cover the demand.
+  double borrowDemand(MonotonicTime now);
+
+  /// On a root: time until its own content covers `units`.
   Milliseconds waitFor(double units, MonotonicTime now) const {
-    return minted_.waitFor(units, now);
+    return issued_.waitFor(units, now);
   }
 
   const TenantLimit& limit() const { return limit_; }
-  Place place() const { return place_; }
-  /// What could be granted here at once.
+  Place role() const { return role_; }
+  /// Units that could be granted immediately at this node.
   double heldAt(MonotonicTime now);
-  /// Units a second that were asked for, and granted, here of late.
+  /// Recent rates, in units per second, of the units requested and granted at this node.
   double demandAt(MonotonicTime now) const { return demand_.perSecond(now); }
   double grantedAt(MonotonicTime now) const { return granted_.perSecond(now); }
 
  private:
-  struct Ahead {
+  struct PrefetchedUnits {
     double units = 0;
     MonotonicTime until{};
   };
 
-  /// Takes from what was granted ahead; all or nothing.
-  bool takeAhead(double units, MonotonicTime now);
+  /// Takes `units` from the units granted in advance; all or nothing.
+  bool takePrefetched(double units, MonotonicTime now);
   void dropExpired(MonotonicTime now);
-  void applyPart(MonotonicTime now);
+  void applyShare(MonotonicTime now);
 
   TenantLimit limit_;
   Allowance allowance_;
   MonotonicTime limitedSince_;
-  Place place_ = Place::kIsland;
-  double part_ = 0;
-  limits::TokenBucket minted_;
-  std::deque<Ahead> ahead_;
-  /// The source has refused until then.
+  Place role_ = Place::kIsland;
+  double share_ = 0;
+  limits::TokenBucket issued_;
+  std::deque<PrefetchedUnits> prefetched_;
+  /// Time until which the last refusal by the source holds.
   MonotonicTime refusedUntil_{};
-  MonotonicTime nextAhead_{};
+  MonotonicTime nextPrefetch_{};
   limits::RateEstimate demand_;
   limits::RateEstimate claims_;
   limits::RateEstimate granted_;
   /// Filled when the source is lost.
-  limits::TokenBucket island_;
-  /// The last contact for which `island_` was filled.
-  std::optional<MonotonicTime> islandSince_;
+  limits::TokenBucket disconnectedBucket_;
+  /// Last contact with a source for which `disconnectedBucket_` was filled.
+  std::optional<MonotonicTime> disconnectedSince_;
 };
 
 }  // namespace calicodrift::quota
--- a/tests/quota/quota_fleet_test.cc
+++ b/tests/quota/quota_fleet_test.cc
@@ -7,24 +7,24 @@
 namespace calicodrift::quota {
 namespace {
 
-/// Units of one request: as prompts of reviews are spread, 9,000 in the middle.
+/// Units of one request, distributed like the prompts of reviews with a median of about 7,000.
 double drawUnits(std::mt19937_64& random) {
   std::lognormal_distribution<double> any(std::log(7000.0), 0.6);
   return std::clamp(std::round(any(random)), 200.0, 57'000.0);
 }
 
-/// Requests come to random nodes at `times` the tenant's limit.
-void sendAtRate(SimulatedFleet& fleet, const FleetOptions& options, double times,
+/// Sends requests to random nodes at `loadFactor` times the tenant's limit.
+void sendAtRate(SimulatedFleet& fleet, const FleetOptions& options, double loadFactor,
                 Milliseconds duration) {
   constexpr double kMeanUnits = 8400;
-  const double perSecond = options.limit.unitsPerSecond * times / kMeanUnits;
-  std::uniform_int_distribution<std::size_t> anyNode(0, options.nodes - 1);
+  const double perSecond = options.limit.unitsPerSecond * loadFactor / kMeanUnits;
+  std::uniform_int_distribution<std::size_t> randomNode(0, options.nodes - 1);
   for (Milliseconds passed{0}; passed < duration;) {
     std::exponential_distribution<double> pause(perSecond / 1000);
     const Milliseconds gap(std::max<std::int64_t>(1, std::llround(pause(fleet.random()))));
     fleet.run(gap);
     passed += gap;
-    fleet.request(anyNode(fleet.random()), drawUnits(fleet.random()));
+    fleet.request(randomNode(fleet.random()), drawUnits(fleet.random()));
   }
 }
 
@@ -35,45 +35,46 @@
          options.bounds.slack;
 }
 
-/// Kills, freezes, cuts and replaces nodes at random, roots as likely as all others together.
-void strike(SimulatedFleet& fleet, const FleetOptions& options, Milliseconds spread) {
+/// Kills, freezes, isolates or replaces a random node; a root with a probability of one half.
+void injectFault(SimulatedFleet& fleet, const FleetOptions& options, Milliseconds spread) {
   std::mt19937_64& random = fleet.random();
   const auto any = [&random](std::int64_t from, std::int64_t to) {
     return std::uniform_int_distribution<std::int64_t>(from, to)(random);
   };
   fleet.schedule(Milliseconds(any(0, spread.count())), [&fleet, &options, any] {
     const std::vector<std::size_t> roots = fleet.roots();
-    const bool hitsRoot = any(0, 1) == 0 && !roots.empty();
+    const bool targetsRoot = any(0, 1) == 0 && !roots.empty();
     const auto nodes = static_cast<std::int64_t>(options.nodes);
-    const std::size_t victim = hitsRoot ? roots[static_cast<std::size_t>(any(0, 1)) % roots.size()]
-                                        : static_cast<std::size_t>(any(0, nodes - 1));
-    const Milliseconds away(any(300, 5000));
+    const std::size_t victim = targetsRoot
+                                   ? roots[static_cast<std::size_t>(any(0, 1)) % roots.size()]
+                                   : static_cast<std::size_t>(any(0, nodes - 1));
+    const Milliseconds outage(any(300, 5000));
     switch (any(0, 2)) {
       case 0:
         fleet.kill(victim);
-        fleet.schedule(away, [&fleet, victim] { fleet.start(victim); });
+        fleet.schedule(outage, [&fleet, victim] { fleet.start(victim); });
         break;
       case 1:
-        fleet.freeze(victim, away);
+        fleet.freeze(victim, outage);
         break;
       default:
         fleet.cut(victim, true);
-        fleet.schedule(away, [&fleet, victim] { fleet.cut(victim, false); });
+        fleet.schedule(outage, [&fleet, victim] { fleet.cut(victim, false); });
         break;
     }
-    if (hitsRoot && away > Milliseconds(1000)) {
-      // The old root, should it live, learns late that it is one no more.
+    if (targetsRoot && outage > Milliseconds(1000)) {
+      // The old root, if it is alive, learns late that it is no longer a root.
       const auto successor = static_cast<std::size_t>(any(2, nodes - 1));
-      fleet.schedule(Milliseconds(any(600, 1000)), [&fleet, victim, successor, away] {
+      fleet.schedule(Milliseconds(any(600, 1000)), [&fleet, victim, successor, outage] {
         if (successor != victim) {
-          fleet.replaceRoot(victim, successor, away + Milliseconds(300));
+          fleet.replaceRoot(victim, successor, outage + Milliseconds(300));
         }
       });
     }
   });
 }
 
-BOOST_AUTO_TEST_CASE(everythingBelowTheLimitPasses) {
+BOOST_AUTO_TEST_CASE(everythingBelowTheLimitIsGranted) {
   for (const std::size_t nodes : {8UL, 79UL, 300UL}) {
     FleetOptions options;
     options.nodes = nodes;
@@ -82,14 +83,14 @@
     fleet.resetCounts();
     sendAtRate(fleet, options, 0.55, Milliseconds(30'000));
     fleet.run(Milliseconds(500));
-    const double refused = 1 - fleet.granted() / fleet.asked();
+    const double refused = 1 - fleet.granted() / fleet.requested();
     BOOST_TEST_MESSAGE(nodes << " nodes: refused below the limit " << refused << ", messages "
                              << fleet.messages());
     BOOST_TEST(refused < 0.001);
   }
 }
 
-BOOST_AUTO_TEST_CASE(theLimitIsUsedAndNotPassedWhereMoreIsSent) {
+BOOST_AUTO_TEST_CASE(theLimitIsUsedAndNotExceededUnderOverload) {
   for (const std::size_t nodes : {8UL, 79UL, 300UL, 3800UL}) {
     FleetOptions options;
     options.nodes = nodes;
@@ -106,7 +107,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(noWindowPassesTheLimitWhateverFails) {
+BOOST_AUTO_TEST_CASE(noWindowExceedsTheLimitUnderFaults) {
   constexpr std::uint64_t kSeeds = 400;
   double worstShare = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -119,7 +120,7 @@
     SimulatedFleet fleet(options, seed);
     fleet.run(Milliseconds(2000));
     for (int count = 0; count < 6; ++count) {
-      strike(fleet, options, Milliseconds(16'000));
+      injectFault(fleet, options, Milliseconds(16'000));
     }
     sendAtRate(fleet, options, 4, Milliseconds(20'000));
     const double share = fleet.checker.worst(options.bounds.window) / allowedIn(options);
@@ -129,7 +130,7 @@
   BOOST_TEST_MESSAGE("worst window over " << kSeeds << " seeds: " << worstShare);
 }
 
-BOOST_AUTO_TEST_CASE(aHerdThatRestartsStaysBelowTheLimit) {
+BOOST_AUTO_TEST_CASE(aFleetWideRestartStaysBelowTheLimit) {
   FleetOptions options;
   SimulatedFleet fleet(options, 5);
   sendAtRate(fleet, options, 4, Milliseconds(5000));
@@ -154,19 +155,19 @@
   BOOST_TEST(fleet.checker.worst(options.bounds.window) <= allowedIn(options));
 }
 
-BOOST_AUTO_TEST_CASE(sizesAreRefusedAlike) {
+BOOST_AUTO_TEST_CASE(largeRequestsAreNotStarvedBySmallOnes) {
   FleetOptions options;
   SimulatedFleet fleet(options, 8);
   fleet.run(Milliseconds(3000));
   double small = 0;
   double large = 0;
-  std::uniform_int_distribution<std::size_t> anyNode(0, options.nodes - 1);
+  std::uniform_int_distribution<std::size_t> randomNode(0, options.nodes - 1);
   for (int count = 0; count < 4000; ++count) {
     fleet.run(Milliseconds(20));
     const bool isLarge = count % 2 == 0;
     const double units = isLarge ? 16'000 : 2000;
     const double before = fleet.granted();
-    fleet.request(anyNode(fleet.random()), units);
+    fleet.request(randomNode(fleet.random()), units);
     fleet.run(Milliseconds(10));
     (isLarge ? large : small) += (fleet.granted() - before) / units;
   }
@@ -174,8 +175,8 @@
   BOOST_TEST(large > 0.5 * small);
 }
 
-/// All orders in which claims, losses, restarts and late answers may follow each other in a root
-/// and two followers, to a bounded depth.
+/// Explores all orders of claims, losses, restarts and late answers between a root and two
+/// followers, up to a bounded depth.
 class SmallModel {
  public:
   SmallModel() {
@@ -184,16 +185,16 @@
       *core = QuotaCore(bounds);
       core->applyLimits({{TenantId("t"), {kNoRate, kSlack}}}, kNow);
     }
-    root_.setPlace({Place::kRoot, 1}, kNow);
+    root_.setRole({Place::kRoot, 1}, kNow);
     for (QuotaCore& follower : followers_) {
-      follower.setPlace({Place::kFollower, 0}, kNow);
+      follower.setRole({Place::kFollower, 0}, kNow);
     }
-    minted_ = Allowance(bounds, {kNoRate, kSlack}).start;
+    issued_ = Allowance(bounds, {kNoRate, kSlack}).initialContent;
   }
 
-  /// States seen; fails where more passes than was minted.
+  /// Returns the number of states visited; fails if more units are granted than were issued.
   static std::size_t explore(const SmallModel& state, int depth) {
-    BOOST_REQUIRE(state.passed_ <= state.minted_);
+    BOOST_REQUIRE(state.passed_ <= state.issued_);
     if (depth == 0) {
       return 1;
     }
@@ -206,7 +207,7 @@
 
  private:
   static constexpr MonotonicTime kNow{std::chrono::hours(1)};
-  /// So that a root starts with three units and refills none.
+  /// Chosen so that a root starts with three units and refills none.
   static constexpr double kSlack = 96;
   static constexpr double kNoRate = 1e-9;
 
@@ -214,7 +215,7 @@
     std::size_t follower = 0;
     unsigned incarnation = 0;
     Claim claim;
-    /// Nothing on its way up.
+    /// Empty while the claim is on its way to the root.
     std::optional<ClaimAnswer> answer;
   };
 
@@ -245,7 +246,7 @@
     const Decision decision = followers_[number].claim(keyOf(TenantId("t")), 1, kNow);
     if (decision.verdict == Verdict::kGranted) {
       passed_ += 1;
-    } else if (decision.verdict == Verdict::kAsk) {
+    } else if (decision.verdict == Verdict::kAskSource) {
       const Claim claim = followers_[number].toMessage(keyOf(TenantId("t")), 1, kNow);
       messages_.push_back({number, incarnations_[number], claim, std::nullopt});
     }
@@ -254,7 +255,7 @@
     ++incarnations_[number];
     followers_[number] = QuotaCore({Milliseconds(1000), 0, kSlack});
     followers_[number].applyLimits({{TenantId("t"), {kNoRate, kSlack}}}, kNow);
-    followers_[number].setPlace({Place::kFollower, 0}, kNow);
+    followers_[number].setRole({Place::kFollower, 0}, kNow);
   }
   void deliver(std::size_t index) {
     Message message = messages_[index];
@@ -278,10 +279,10 @@
   unsigned incarnations_[2] = {0, 0};
   std::vector<Message> messages_;
   double passed_ = 0;
-  double minted_ = 0;
+  double issued_ = 0;
 };
 
-BOOST_AUTO_TEST_CASE(nothingPassesBeyondWhatWasMintedInAnyOrder) {
+BOOST_AUTO_TEST_CASE(noOrderOfEventsGrantsMoreThanWasIssued) {
   const std::size_t seen = SmallModel::explore(SmallModel(), 7);
   BOOST_TEST_MESSAGE("states seen: " << seen);
   BOOST_TEST(seen > 10'000);
--- a/tests/quota/quota_node_test.cc
+++ b/tests/quota/quota_node_test.cc
@@ -13,14 +13,14 @@
 using asio::awaitable;
 const TenantId kTenant("t");
 constexpr QuotaBounds kBounds{Milliseconds(8000), 0.1, 32'000};
-/// A root begins with 1,028 units, and passes a request while it has any.
+/// A root starts with 1,028 units and grants a request while it has any.
 constexpr TenantLimit kLimit{1000, 1000};
 
 constexpr Milliseconds kLongestLendingAge{1000};
 
-/// A node of the tree with its claims served over HTTP.
+/// A node of the tree that serves claims over HTTP.
 struct TestNode {
-  TestNode(asio::io_context& context, http::Client& client, NodePlace place)
+  TestNode(asio::io_context& context, http::Client& client, NodePlace role)
       : server(context.get_executor(), {},
                [this](http::Request& request, http::ResponseWriter& writer) {
                  return quota->handle(request, writer);
@@ -28,7 +28,7 @@
         metrics(registry) {
     endpoint = server.listen({"127.0.0.1", 0}).value();
     quota = std::make_unique<QuotaNode>(
-        QuotaNodeContext{context.get_executor(), client, [place] { return place; },
+        QuotaNodeContext{context.get_executor(), client, [role] { return role; },
                          [this] { return parent; }, [this] { return roots; },
                          [this]() -> awaitable<std::vector<Endpoint>> { co_return lenders; },
                          [this] { return viewAge; }, kLongestLendingAge},
@@ -47,7 +47,7 @@
   QuotaMetrics metrics;
 };
 
-/// Takes calls and never answers, as a connection does that fell silent.
+/// Accepts connections and never responds.
 struct SilentNode {
   explicit SilentNode(asio::io_context& context)
       : acceptor(context, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)) {}
@@ -82,7 +82,8 @@
     context.run_for(std::chrono::seconds(10));
     BOOST_TEST(finished, "the body did not end in time");
   }
-  /// Units that pass at the node in requests of so many each, until one is refused.
+  /// Sends requests of `units` each to the node until one is refused; returns the number of units
+  /// granted.
   static awaitable<double> passAll(TestNode& node, double units) {
     double passed = 0;
     while ((co_await node.quota->take(kTenant, units)).granted) {
@@ -94,10 +95,11 @@
 
 BOOST_FIXTURE_TEST_SUITE(quota_node, TreeFixture)
 
-BOOST_AUTO_TEST_CASE(aLeafGetsWhatBothRootsHave) {
+BOOST_AUTO_TEST_CASE(aLeafGetsTheUnitsOfBothRoots) {
   run([this]() -> awaitable<void> {
     const double passed = co_await passAll(leaf, 50);
-    // The start of both, what they refilled meanwhile, and one request each that is not covered.
+    // The initial content of both roots, what they refilled meanwhile, and one uncovered request
+    // each.
     BOOST_TEST(passed >= 900);
     BOOST_TEST(passed <= 1600);
     const QuotaVerdict verdict = co_await leaf.quota->take(kTenant, 50);
@@ -125,15 +127,17 @@
       timer.expires_after(Milliseconds(5));
       co_await timer.async_wait(asio::use_awaitable);
     }
-    // Its own half in that time, with what it began with, and half of the other half at least.
+    // Its own half in that time, including its initial content, plus at least half of the other
+    // half.
     const double ownHalf = 514 + 0.5 * 3000;
     BOOST_TEST(passed > ownHalf + 0.25 * 1500);
     BOOST_TEST(passed < 2 * ownHalf);
   });
 }
 
-/// It may have been replaced, and not know it. To the other root of its own tree it gives on.
-BOOST_AUTO_TEST_CASE(aRootWithAnOldViewOfItsTreeLendsNothing) {
+/// A root with an old view may have been replaced without knowing it. It still grants claims of the
+/// other root of its own tree.
+BOOST_AUTO_TEST_CASE(aRootWithAnOutdatedTreeViewLendsNothing) {
   ClaimBatch borrows;
   borrows.claims = {{keyOf(kTenant), 0, 40}};
   borrows.fromRoot = true;
@@ -141,7 +145,7 @@
   claims.claims[0].units = 10;
   otherRoot.quota->start();
   run([this, borrows, claims]() -> awaitable<void> {
-    // Until it has more than it keeps for claims of its own.
+    // Wait until it has more than it reserves for claims of its own.
     asio::steady_timer timer(context, Milliseconds(600));
     co_await timer.async_wait(asio::use_awaitable);
     const auto ask = [this](ClaimBatch batch) {
@@ -150,31 +154,31 @@
     };
     otherRoot.viewAge = kLongestLendingAge + Milliseconds(1);
     const Result<ClaimReply> old = co_await ask(borrows);
-    BOOST_TEST(old.value().answers.at(0).ahead == 0U);
+    BOOST_TEST(old.value().answers.at(0).prefetch == 0U);
     BOOST_TEST(old.value().answers.at(0).waitMs > 0U);
     const Result<ClaimReply> claimed = co_await ask(claims);
     BOOST_TEST(claimed.value().answers.at(0).waitMs == 0U);
     otherRoot.viewAge = kLongestLendingAge;
     const Result<ClaimReply> fresh = co_await ask(borrows);
-    BOOST_TEST(fresh.value().answers.at(0).ahead == 40U);
+    BOOST_TEST(fresh.value().answers.at(0).prefetch == 40U);
   });
 }
 
-BOOST_AUTO_TEST_CASE(aSilentParentIsPassedOver) {
+BOOST_AUTO_TEST_CASE(anUnresponsiveParentIsSkipped) {
   SilentNode silent(context);
   leaf.parent = silent.endpoint();
   run([this]() -> awaitable<void> {
     const MonotonicTime begin = monotonicNow();
     BOOST_TEST((co_await leaf.quota->take(kTenant, 50)).granted);
     BOOST_TEST((monotonicNow() - begin < 3 * QuotaNode::kSourceTimeout));
-    // It is not asked again at once.
+    // The unresponsive parent is not tried again immediately.
     const MonotonicTime again = monotonicNow();
     BOOST_TEST((co_await leaf.quota->take(kTenant, 50)).granted);
     BOOST_TEST((monotonicNow() - again < QuotaNode::kSourceTimeout));
   });
 }
 
-BOOST_AUTO_TEST_CASE(whereEverybodyIsSilentARequestIsRefusedSoon) {
+BOOST_AUTO_TEST_CASE(aRequestIsRefusedSoonIfNoSourceResponds) {
   SilentNode silent(context);
   leaf.parent = silent.endpoint();
   leaf.roots = {silent.endpoint()};
@@ -185,7 +189,7 @@
   });
 }
 
-BOOST_AUTO_TEST_CASE(nodesThatFollowEachOtherDoNotAskForEver) {
+BOOST_AUTO_TEST_CASE(aCycleOfNodesDoesNotForwardForever) {
   middle.parent = leaf.endpoint;
   middle.roots.clear();
   leaf.roots.clear();
@@ -196,7 +200,7 @@
   });
 }
 
-BOOST_AUTO_TEST_CASE(whatIsGivenBackServesTheNextRequest) {
+BOOST_AUTO_TEST_CASE(returnedUnitsServeTheNextRequest) {
   run([this]() -> awaitable<void> {
     static_cast<void>(co_await passAll(leaf, 50));
     leaf.quota->giveBack(kTenant, 50);
--- a/tests/quota/regions_test.cc
+++ b/tests/quota/regions_test.cc
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr std::size_t kRegions = 3;
-constexpr std::size_t kNodesOfARegion = 20;
+constexpr std::size_t kNodesPerRegion = 20;
 
 FleetOptions threeRegions() {
   FleetOptions options;
   options.regions = kRegions;
-  options.nodes = kRegions * kNodesOfARegion;
+  options.nodes = kRegions * kNodesPerRegion;
   return options;
 }
 
@@ -23,33 +23,34 @@
          options.bounds.slack;
 }
 
-/// Requests come to the nodes from `first` on, `count` of them, at `times` the tenant's limit.
-void sendTo(SimulatedFleet& fleet, const FleetOptions& options, std::size_t first,
-            std::size_t count, double times, Milliseconds duration) {
+/// Sends requests to the `count` nodes starting at `first`, at `loadFactor` times the tenant's
+/// limit.
+void sendToNodes(SimulatedFleet& fleet, const FleetOptions& options, std::size_t first,
+                 std::size_t count, double loadFactor, Milliseconds duration) {
   constexpr double kUnits = 4000;
-  const double perSecond = options.limit.unitsPerSecond * times / kUnits;
-  std::uniform_int_distribution<std::size_t> anyNode(first, first + count - 1);
+  const double perSecond = options.limit.unitsPerSecond * loadFactor / kUnits;
+  std::uniform_int_distribution<std::size_t> randomNode(first, first + count - 1);
   double due = 0;
   for (Milliseconds passed{0}; passed < duration; passed += Milliseconds(5)) {
     fleet.run(Milliseconds(5));
     for (due += perSecond * 0.005; due >= 1; due -= 1) {
-      fleet.request(anyNode(fleet.random()), kUnits);
+      fleet.request(randomNode(fleet.random()), kUnits);
     }
   }
 }
 
 BOOST_AUTO_TEST_SUITE(limits_over_regions)
 
-BOOST_AUTO_TEST_CASE(aTenantOfOneRegionGetsItsWholeLimit) {
-  for (const double times : {0.8, 1.0, 3.0}) {
+BOOST_AUTO_TEST_CASE(aTenantInOneRegionGetsItsWholeLimit) {
+  for (const double loadFactor : {0.8, 1.0, 3.0}) {
     const FleetOptions options = threeRegions();
     SimulatedFleet fleet(options, 3);
-    sendTo(fleet, options, kNodesOfARegion, kNodesOfARegion, times, Milliseconds(3000));
+    sendToNodes(fleet, options, kNodesPerRegion, kNodesPerRegion, loadFactor, Milliseconds(3000));
     fleet.resetCounts();
-    sendTo(fleet, options, kNodesOfARegion, kNodesOfARegion, times, Milliseconds(20'000));
-    const double wanted = options.limit.unitsPerSecond * std::min(times, 1.0) * 20;
+    sendToNodes(fleet, options, kNodesPerRegion, kNodesPerRegion, loadFactor, Milliseconds(20'000));
+    const double wanted = options.limit.unitsPerSecond * std::min(loadFactor, 1.0) * 20;
     const double used = fleet.granted() / wanted;
-    BOOST_TEST_MESSAGE("sent " << times << " of the limit to one region, got " << used);
+    BOOST_TEST_MESSAGE("sent " << loadFactor << " of the limit to one region, got " << used);
     BOOST_TEST(used > 0.95);
     BOOST_TEST(fleet.checker.worst(options.bounds.window) <= allowedIn(options));
   }
@@ -59,35 +60,36 @@
   const FleetOptions options = threeRegions();
   SimulatedFleet fleet(options, 4);
   for (std::size_t round = 0; round < 6; ++round) {
-    const std::size_t first = (round % kRegions) * kNodesOfARegion;
-    sendTo(fleet, options, first, kNodesOfARegion, 2, Milliseconds(2000));
+    const std::size_t first = (round % kRegions) * kNodesPerRegion;
+    sendToNodes(fleet, options, first, kNodesPerRegion, 2, Milliseconds(2000));
     fleet.resetCounts();
-    sendTo(fleet, options, first, kNodesOfARegion, 2, Milliseconds(4000));
+    sendToNodes(fleet, options, first, kNodesPerRegion, 2, Milliseconds(4000));
     BOOST_TEST(fleet.granted() > 0.9 * options.limit.unitsPerSecond * 4);
   }
   BOOST_TEST(fleet.checker.worst(options.bounds.window) <= allowedIn(options));
 }
 
-BOOST_AUTO_TEST_CASE(aRegionThatIsCutOffKeepsItsOwnPart) {
+BOOST_AUTO_TEST_CASE(anIsolatedRegionKeepsItsOwnShare) {
   const FleetOptions options = threeRegions();
   SimulatedFleet fleet(options, 5);
-  sendTo(fleet, options, 0, kNodesOfARegion, 2, Milliseconds(4000));
+  sendToNodes(fleet, options, 0, kNodesPerRegion, 2, Milliseconds(4000));
   fleet.cutRegion(0, true);
-  sendTo(fleet, options, 0, kNodesOfARegion, 2, Milliseconds(2000));
+  sendToNodes(fleet, options, 0, kNodesPerRegion, 2, Milliseconds(2000));
   fleet.resetCounts();
-  sendTo(fleet, options, 0, kNodesOfARegion, 2, Milliseconds(10'000));
+  sendToNodes(fleet, options, 0, kNodesPerRegion, 2, Milliseconds(10'000));
   const double used = fleet.granted() / (options.limit.unitsPerSecond * 10);
   BOOST_TEST(used > 0.9 / kRegions);
   BOOST_TEST(used < 1.1 / kRegions);
   fleet.cutRegion(0, false);
-  sendTo(fleet, options, 0, kNodesOfARegion, 2, Milliseconds(2000));
+  sendToNodes(fleet, options, 0, kNodesPerRegion, 2, Milliseconds(2000));
   fleet.resetCounts();
-  sendTo(fleet, options, 0, kNodesOfARegion, 2, Milliseconds(10'000));
+  sendToNodes(fleet, options, 0, kNodesPerRegion, 2, Milliseconds(10'000));
   BOOST_TEST(fleet.granted() > 0.95 * options.limit.unitsPerSecond * 10);
 }
 
-/// One of: a region is cut off for a while; one of its roots is killed, frozen or replaced.
-void strike(SimulatedFleet& fleet) {
+/// Injects one random fault: a region is isolated for a while, or one of its roots is killed,
+/// frozen or replaced.
+void injectFault(SimulatedFleet& fleet) {
   const auto any = [&fleet](std::int64_t from, std::int64_t to) {
     return std::uniform_int_distribution<std::int64_t>(from, to)(fleet.random());
   };
@@ -95,28 +97,28 @@
     const auto region = static_cast<std::size_t>(any(0, kRegions - 1));
     const std::vector<std::size_t> roots = fleet.rootsOf(region);
     const std::size_t victim = roots[static_cast<std::size_t>(any(0, 1)) % roots.size()];
-    const Milliseconds away(any(300, 5000));
+    const Milliseconds outage(any(300, 5000));
     switch (any(0, 3)) {
       case 0:
         fleet.cutRegion(region, true);
-        fleet.schedule(away, [&fleet, region] { fleet.cutRegion(region, false); });
+        fleet.schedule(outage, [&fleet, region] { fleet.cutRegion(region, false); });
         break;
       case 1:
         fleet.kill(victim);
-        fleet.schedule(away, [&fleet, victim] { fleet.start(victim); });
+        fleet.schedule(outage, [&fleet, victim] { fleet.start(victim); });
         break;
       case 2:
-        fleet.freeze(victim, away);
+        fleet.freeze(victim, outage);
         break;
       default:
-        // The old root learns late that it is one no more.
-        fleet.replaceRoot(victim, victim - victim % kNodesOfARegion + kNodesOfARegion - 1, away);
+        // The old root learns late that it is no longer a root.
+        fleet.replaceRoot(victim, victim - victim % kNodesPerRegion + kNodesPerRegion - 1, outage);
         break;
     }
   });
 }
 
-BOOST_AUTO_TEST_CASE(noWindowPassesTheLimitWhicheverRegionsAreApart) {
+BOOST_AUTO_TEST_CASE(noWindowExceedsTheLimitWhicheverRegionsAreIsolated) {
   constexpr std::uint64_t kSeeds = 200;
   double worstShare = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -128,11 +130,11 @@
     SimulatedFleet fleet(options, seed);
     fleet.run(Milliseconds(2000));
     for (int count = 0; count < 6; ++count) {
-      strike(fleet);
+      injectFault(fleet);
     }
-    // Everywhere, in one region, in two.
+    // Load on one region, on two, or on all of them.
     const std::size_t busyRegions = 1 + seed % kRegions;
-    sendTo(fleet, options, 0, busyRegions * kNodesOfARegion, 4, Milliseconds(20'000));
+    sendToNodes(fleet, options, 0, busyRegions * kNodesPerRegion, 4, Milliseconds(20'000));
     const double share = fleet.checker.worst(options.bounds.window) / allowedIn(options);
     worstShare = std::max(worstShare, share);
     BOOST_TEST(share <= 1, "seed " << seed << ": " << share << " of what is allowed");
--- a/tests/quota/simulated_fleet.h
+++ b/tests/quota/simulated_fleet.h
@@ -14,11 +14,11 @@
 
 namespace calicodrift::quota {
 
-/// Units that passed, with their time; tells the worst window. Knows nothing of the limiter.
+/// Records granted units with their time and computes the worst window. Independent of the limiter.
 class WindowChecker {
  public:
   void add(double units, MonotonicTime at) { passed_.push_back({at, units}); }
-  /// The greatest sum over any span of that length.
+  /// Maximum sum over any time span of length `window`.
   double worst(Milliseconds window) const {
     double worst = 0;
     double sum = 0;
@@ -43,18 +43,18 @@
 
 struct FleetOptions {
   std::size_t nodes = 79;
-  std::size_t childrenOfANode = 16;
+  std::size_t childrenPerNode = 16;
   QuotaBounds bounds{Milliseconds(8000), 0.1, 110'000};
   TenantLimit limit{124'000, 124'000};
-  /// Lost calls between nodes, from 0 to 1.
+  /// Probability that a call between nodes is lost.
   double loss = 0;
-  /// Each with as many of the nodes, in a tree of its own.
+  /// Number of regions, each with an equal number of nodes and its own tree.
   std::size_t regions = 1;
 };
 
-/// Many QuotaCores in a tree in virtual time, as QuotaNode runs them: a claim that a node can't
+/// Many QuotaCores in a tree in virtual time, driven as QuotaNode does: a claim that a node cannot
 /// decide goes to its parent, then to a root, and roots borrow from those of other regions. One
-/// tenant. The same seed gives the same run.
+/// tenant. Runs with the same seed are identical.
 class SimulatedFleet {
  public:
   SimulatedFleet(FleetOptions options, std::uint64_t seed)
@@ -64,7 +64,7 @@
       nodes_.emplace_back();
       nodes_[number].listedRoot = number - firstOf(number) < kRoots;
       start(number);
-      pulse(number);
+      refreshRole(number);
       borrow(number);
     }
   }
@@ -76,25 +76,25 @@
     clock_.schedule(after, std::move(action));
   }
 
-  /// A process begins and knows nothing.
+  /// Starts a process with empty state.
   void start(std::size_t number) {
     Node& node = nodes_[number];
     ++node.incarnation;
     node.core.emplace(options_.bounds);
     node.core->applyLimits({{TenantId("t"), options_.limit}}, now());
-    node.core->setPlace(placeOf(number), now());
+    node.core->setRole(roleOf(number), now());
   }
   void kill(std::size_t number) {
     ++nodes_[number].incarnation;
     nodes_[number].core.reset();
   }
-  /// A frozen node does nothing; what was sent to it is handled when it wakes.
+  /// Freezes a node: messages sent to it are handled when it resumes.
   void freeze(std::size_t number, Milliseconds duration) {
     nodes_[number].frozenUntil = now() + duration;
   }
-  /// No call from or to the node arrives.
+  /// Drops all calls from and to the node.
   void cut(std::size_t number, bool isCut) { nodes_[number].cut = isCut; }
-  /// No call from or to the region's nodes comes through the borders of the region.
+  /// Drops all calls between the region and other regions.
   void cutRegion(std::size_t region, bool isCut) {
     if (isCut) {
       cutRegions_.insert(region);
@@ -105,10 +105,11 @@
   std::size_t regionOf(std::size_t number) const {
     return std::min(number / regionSize(), options_.regions - 1);
   }
-  /// The list of roots names another node in the place of one; that one hears of it after `late`.
-  void replaceRoot(std::size_t old, std::size_t successor, Milliseconds late) {
+  /// Replaces one node by another in the list of roots. The replaced node learns of it after
+  /// `delay`.
+  void replaceRoot(std::size_t old, std::size_t successor, Milliseconds delay) {
     nodes_[successor].listedRoot = true;
-    clock_.schedule(late, [this, old] { nodes_[old].listedRoot = false; });
+    clock_.schedule(delay, [this, old] { nodes_[old].listedRoot = false; });
   }
   void setLimit(const TenantLimit& limit) {
     options_.limit = limit;
@@ -133,14 +134,14 @@
     return found;
   }
 
-  /// A request of the tenant comes to a node.
+  /// Sends a request of the tenant to a node.
   void request(std::size_t number, double units) {
     Node& node = nodes_[number];
     if (!node.core || isFrozen(node)) {
       return;
     }
-    node.core->setPlace(placeOf(number), now());
-    asked_ += units;
+    node.core->setRole(roleOf(number), now());
+    requested_ += units;
     claim(number, units, 0, [this, units](const Decision& decision) {
       if (decision.verdict == Verdict::kGranted) {
         granted_ += units;
@@ -149,20 +150,20 @@
     });
   }
 
-  double asked() const { return asked_; }
+  double requested() const { return requested_; }
   double granted() const { return granted_; }
   std::size_t messages() const { return messages_; }
-  void resetCounts() { asked_ = granted_ = 0; }
+  void resetCounts() { requested_ = granted_ = 0; }
 
   WindowChecker checker;
 
  private:
   static constexpr std::size_t kRoots = 2;
   static constexpr Milliseconds kHop{1};
-  static constexpr Milliseconds kFarHop{30};
+  static constexpr Milliseconds kInterRegionHop{30};
   static constexpr Milliseconds kBorrowInterval{100};
   static constexpr Milliseconds kTimeout{120};
-  static constexpr std::uint32_t kMostHops = 12;
+  static constexpr std::uint32_t kMaxHops = 12;
 
   using Answer = std::function<void(const Decision&)>;
   struct Node {
@@ -181,14 +182,14 @@
   }
   std::optional<std::size_t> parentOf(std::size_t number) const {
     const std::size_t first = firstOf(number);
-    const std::size_t place = number - first;
-    if (place >= kRoots * (1 + options_.childrenOfANode)) {
-      return first + kRoots + (place - kRoots) / options_.childrenOfANode - kRoots;
+    const std::size_t position = number - first;
+    if (position >= kRoots * (1 + options_.childrenPerNode)) {
+      return first + kRoots + (position - kRoots) / options_.childrenPerNode - kRoots;
     }
     const std::vector<std::size_t> all = rootsOf(regionOf(number));
     return all.empty() ? std::nullopt : std::optional(all[number % all.size()]);
   }
-  NodePlace placeOf(std::size_t number) const {
+  NodePlace roleOf(std::size_t number) const {
     if (nodes_[number].listedRoot) {
       const std::size_t ofRegion = std::max(kRoots, rootsOf(regionOf(number)).size());
       return {Place::kRoot, 1 / static_cast<double>(ofRegion * options_.regions)};
@@ -196,22 +197,22 @@
     return {Place::kFollower, 0};
   }
 
-  void pulse(std::size_t number) {
+  void refreshRole(std::size_t number) {
     Node& node = nodes_[number];
     if (node.core && !isFrozen(node)) {
-      node.core->setPlace(placeOf(number), now());
+      node.core->setRole(roleOf(number), now());
     }
-    clock_.schedule(QuotaCore::kPulse, [this, number] { pulse(number); });
+    clock_.schedule(QuotaCore::kRoleRefreshInterval, [this, number] { refreshRole(number); });
   }
 
-  /// A root asks the roots of the other regions for what it lacks.
+  /// Lets a root claim what it lacks from the roots of the other regions.
   void borrow(std::size_t number) {
     Node& node = nodes_[number];
     if (node.core && !isFrozen(node) && !node.cut) {
       std::vector<std::size_t> lenders = roots();
       std::erase_if(
           lenders, [this, number](std::size_t root) { return regionOf(root) == regionOf(number); });
-      for (const Claim& message : node.core->toBorrow(lenders.size(), now())) {
+      for (const Claim& message : node.core->borrowClaims(lenders.size(), now())) {
         for (const std::size_t lender : lenders) {
           borrowFrom(number, lender, message);
         }
@@ -222,23 +223,23 @@
   void borrowFrom(std::size_t number, std::size_t lender, const Claim& message) {
     const std::uint64_t incarnation = nodes_[number].incarnation;
     const MonotonicTime sent = now();
-    clock_.schedule(kFarHop, [this, number, lender, message, incarnation, sent] {
-      if (!bordersOpen(number, lender) || !reachable(lender)) {
+    clock_.schedule(kInterRegionHop, [this, number, lender, message, incarnation, sent] {
+      if (!regionsConnected(number, lender) || !reachable(lender)) {
         return;
       }
       QuotaCore& core = *nodes_[lender].core;
-      core.setPlace(placeOf(lender), now());
+      core.setRole(roleOf(lender), now());
       const Decision decision = core.claim(message.tenant, message.units, now());
       const ClaimAnswer answer = core.toAnswer(message, decision, now());
-      clock_.schedule(kFarHop, [this, number, lender, message, incarnation, sent, answer] {
+      clock_.schedule(kInterRegionHop, [this, number, lender, message, incarnation, sent, answer] {
         const bool sameRun = nodes_[number].incarnation == incarnation;
-        if (sameRun && bordersOpen(number, lender) && reachable(number)) {
+        if (sameRun && regionsConnected(number, lender) && reachable(number)) {
           nodes_[number].core->onBorrowed(message, answer, sent);
         }
       });
     });
   }
-  bool bordersOpen(std::size_t left, std::size_t right) const {
+  bool regionsConnected(std::size_t left, std::size_t right) const {
     return !cutRegions_.contains(regionOf(left)) && !cutRegions_.contains(regionOf(right));
   }
   std::size_t regionSize() const { return options_.nodes / options_.regions; }
@@ -248,12 +249,12 @@
     Node& node = nodes_[number];
     const TenantKey key = keyOf(TenantId("t"));
     const Decision decision = node.core->claim(key, units, now());
-    if (decision.verdict != Verdict::kAsk || hops > kMostHops) {
+    if (decision.verdict != Verdict::kAskSource || hops > kMaxHops) {
       answer(decision);
       return;
     }
     std::vector<std::size_t> sources;
-    const bool isRoot = node.core->place().place == Place::kRoot;
+    const bool isRoot = node.core->role().role == Place::kRoot;
     if (const auto parent = parentOf(number); parent && !isRoot && *parent != number) {
       sources.push_back(*parent);
     }
@@ -276,7 +277,7 @@
         return;
       }
       answer(got ? node.core->onAnswer(message, *got, sent, now())
-                 : node.core->onSilence(message.tenant, message.units, now()));
+                 : node.core->onNoReply(message.tenant, message.units, now()));
     };
     if (sources.empty()) {
       finish(std::nullopt);
@@ -285,7 +286,7 @@
     const std::size_t source = sources.front();
     sources.erase(sources.begin());
     ++messages_;
-    const bool fromRoot = nodes_[number].core->place().place == Place::kRoot;
+    const bool fromRoot = nodes_[number].core->role().role == Place::kRoot;
     if (nodes_[number].cut || !reachable(source)) {
       clock_.schedule(kTimeout, [this, number, message, hops, sources, answer, incarnation] {
         if (nodes_[number].incarnation == incarnation && nodes_[number].core) {
@@ -295,23 +296,23 @@
       return;
     }
     clock_.schedule(kHop, [this, number, source, message, hops, fromRoot, finish] {
-      Node& asked = nodes_[source];
-      if (!asked.core) {
+      Node& receiver = nodes_[source];
+      if (!receiver.core) {
         finish(std::nullopt);
         return;
       }
-      asked.core->setPlace(placeOf(source), now());
+      receiver.core->setRole(roleOf(source), now());
       const auto reply = [this, number, source, message, finish](const Decision& decision) {
         if (!nodes_[source].core) {
           return;
         }
         const ClaimAnswer got = nodes_[source].core->toAnswer(message, decision, now());
-        // An answer that is lost is lost to the tenant.
+        // The units of a lost answer are lost to the tenant.
         if (reachable(number)) {
           clock_.schedule(kHop, [finish, got] { finish(got); });
         }
       };
-      claim(source, message.units, fromRoot ? kMostHops + 1 : hops + 1, reply);
+      claim(source, message.units, fromRoot ? kMaxHops + 1 : hops + 1, reply);
     });
   }
 
@@ -320,7 +321,7 @@
   FleetOptions options_;
   std::vector<Node> nodes_;
   std::set<std::size_t> cutRegions_;
-  double asked_ = 0;
+  double requested_ = 0;
   double granted_ = 0;
   std::size_t messages_ = 0;
 };
--- a/tests/quota/ways_test.cc
+++ b/tests/quota/ways_test.cc
@@ -8,8 +8,8 @@
 #include "limits/water_fill.h"
 #include "simulated_fleet.h"
 
-/// Ways to keep one limit over many nodes, on the same requests: claims along the tree, which the
-/// product has, beside an even part for each node, and parts that follow the demand.
+/// Compares methods of enforcing one limit over many nodes on the same requests: claims along the
+/// tree, as implemented, an equal share for each node, and shares that follow the demand.
 namespace calicodrift::quota {
 namespace {
 
@@ -20,30 +20,30 @@
 };
 
 struct Outcome {
-  double asked = 0;
+  double requested = 0;
   double passed = 0;
   double worst = 0;
 };
 
-/// The tenant's callers are spread over `users` of the nodes.
-std::vector<Arrival> drawArrivals(const FleetOptions& options, double times, std::size_t users,
+/// Draws arrivals of a tenant whose callers are spread over `users` of the nodes.
+std::vector<Arrival> drawArrivals(const FleetOptions& options, double loadFactor, std::size_t users,
                                   std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::lognormal_distribution<double> anyUnits(std::log(7000.0), 0.6);
-  std::uniform_int_distribution<std::size_t> anyNode(0, std::min(users, options.nodes) - 1);
+  std::uniform_int_distribution<std::size_t> randomNode(0, std::min(users, options.nodes) - 1);
   constexpr double kMeanUnits = 8400;
   constexpr Milliseconds kLength{30'000};
-  std::exponential_distribution<double> pause(options.limit.unitsPerSecond * times / kMeanUnits /
-                                              1000);
+  std::exponential_distribution<double> pause(options.limit.unitsPerSecond * loadFactor /
+                                              kMeanUnits / 1000);
   std::vector<Arrival> arrivals;
   for (double at = 0; at < toMilliseconds(kLength); at += pause(random)) {
     const double units = std::clamp(std::round(anyUnits(random)), 200.0, 57'000.0);
-    arrivals.push_back({Milliseconds(std::llround(at)), anyNode(random), units});
+    arrivals.push_back({Milliseconds(std::llround(at)), randomNode(random), units});
   }
   return arrivals;
 }
 
-Outcome playClaims(const FleetOptions& options, const std::vector<Arrival>& arrivals) {
+Outcome simulateClaims(const FleetOptions& options, const std::vector<Arrival>& arrivals) {
   SimulatedFleet fleet(options, 1);
   fleet.run(Milliseconds(3000));
   fleet.resetCounts();
@@ -54,24 +54,25 @@
     fleet.request(arrival.node, arrival.units);
   }
   fleet.run(Milliseconds(500));
-  return {fleet.asked(), fleet.granted(), fleet.checker.worst(options.bounds.window)};
+  return {fleet.requested(), fleet.granted(), fleet.checker.worst(options.bounds.window)};
 }
 
-/// Each node has a bucket of its own; `divide` sets their parts, each kInterval.
+/// Simulates one bucket per node; `divide` sets their shares every kInterval.
 template <typename Divide>
-Outcome playBuckets(const FleetOptions& options, const std::vector<Arrival>& arrivals,
-                    Divide divide) {
+Outcome simulateBuckets(const FleetOptions& options, const std::vector<Arrival>& arrivals,
+                        Divide divide) {
   constexpr Milliseconds kInterval{250};
   const MonotonicTime start{std::chrono::hours(1)};
   std::vector<limits::TokenBucket> buckets(options.nodes);
   std::vector<limits::RateEstimate> demands(options.nodes,
                                             limits::RateEstimate(Milliseconds(2000)));
-  const auto even = 1 / static_cast<double>(options.nodes);
+  const auto equalShare = 1 / static_cast<double>(options.nodes);
   for (limits::TokenBucket& bucket : buckets) {
-    bucket.setLimit(options.limit.unitsPerSecond * even, options.limit.burst * even, start);
-    bucket.setContent(options.limit.burst * even, start);
+    bucket.setLimit(options.limit.unitsPerSecond * equalShare, options.limit.burst * equalShare,
+                    start);
+    bucket.setContent(options.limit.burst * equalShare, start);
   }
-  const double debt = Allowance(options.bounds, options.limit).debt;
+  const double maxDebt = Allowance(options.bounds, options.limit).maxDebt;
   WindowChecker checker;
   Outcome outcome;
   Milliseconds divided{0};
@@ -80,9 +81,9 @@
       divide(buckets, demands, start + divided);
     }
     const MonotonicTime now = start + arrival.at;
-    outcome.asked += arrival.units;
+    outcome.requested += arrival.units;
     demands[arrival.node].add(arrival.units, now);
-    if (buckets[arrival.node].tryTake(arrival.units, debt, now)) {
+    if (buckets[arrival.node].tryTake(arrival.units, maxDebt, now)) {
       outcome.passed += arrival.units;
       checker.add(arrival.units, now);
     }
@@ -91,14 +92,15 @@
   return outcome;
 }
 
-Outcome playEvenParts(const FleetOptions& options, const std::vector<Arrival>& arrivals) {
-  return playBuckets(options, arrivals, [](auto&, auto&, MonotonicTime) {});
+Outcome simulateEqualShares(const FleetOptions& options, const std::vector<Arrival>& arrivals) {
+  return simulateBuckets(options, arrivals, [](auto&, auto&, MonotonicTime) {});
 }
 
-/// As if all demands were known to all at once: what is told along a tree is older.
-Outcome playSharesByDemand(const FleetOptions& options, const std::vector<Arrival>& arrivals) {
-  constexpr double kSparePart = 0.5;
-  return playBuckets(
+/// Assumes that all nodes know all demands immediately. Demands reported along a tree would be
+/// older, so this is a best case.
+Outcome simulateDemandShares(const FleetOptions& options, const std::vector<Arrival>& arrivals) {
+  constexpr double kSpareFraction = 0.5;
+  return simulateBuckets(
       options, arrivals, [&options](auto& buckets, auto& demands, MonotonicTime now) {
         std::vector<limits::Demand> wanted;
         double sum = 0;
@@ -107,7 +109,7 @@
           sum += wanted.back().amount;
         }
         const double level = limits::fairLevel(wanted, options.limit.unitsPerSecond);
-        const double spare = std::max(0.0, options.limit.unitsPerSecond - sum) * kSparePart /
+        const double spare = std::max(0.0, options.limit.unitsPerSecond - sum) * kSpareFraction /
                              static_cast<double>(buckets.size());
         for (std::size_t node = 0; node < buckets.size(); ++node) {
           const double rate = std::min(wanted[node].amount, level) + spare;
@@ -124,10 +126,10 @@
          options.bounds.slack;
 }
 
-void tell(const char* way, std::size_t nodes, std::size_t users, const Outcome& below,
-          const Outcome& above, const FleetOptions& options) {
+void logRow(const char* way, std::size_t nodes, std::size_t users, const Outcome& below,
+            const Outcome& above, const FleetOptions& options) {
   BOOST_TEST_MESSAGE("| " << way << " | " << nodes << " | " << users << " | "
-                          << 1 - below.passed / below.asked << " | "
+                          << 1 - below.passed / below.requested << " | "
                           << above.passed / (options.limit.unitsPerSecond * 30) << " | "
                           << above.worst / allowed(options) << " |");
 }
@@ -142,15 +144,15 @@
       options.nodes = nodes;
       const std::vector<Arrival> below = drawArrivals(options, 0.55, users, 11);
       const std::vector<Arrival> above = drawArrivals(options, 4, users, 12);
-      const Outcome claimsBelow = playClaims(options, below);
-      const Outcome claimsAbove = playClaims(options, above);
-      const Outcome evenBelow = playEvenParts(options, below);
-      const Outcome sharesBelow = playSharesByDemand(options, below);
-      tell("claims along the tree", nodes, users, claimsBelow, claimsAbove, options);
-      tell("even parts", nodes, users, evenBelow, playEvenParts(options, above), options);
-      tell("shares by demand", nodes, users, sharesBelow, playSharesByDemand(options, above),
-           options);
-      BOOST_TEST(claimsBelow.passed >= evenBelow.passed);
+      const Outcome claimsBelow = simulateClaims(options, below);
+      const Outcome claimsAbove = simulateClaims(options, above);
+      const Outcome equalBelow = simulateEqualShares(options, below);
+      const Outcome sharesBelow = simulateDemandShares(options, below);
+      logRow("claims along the tree", nodes, users, claimsBelow, claimsAbove, options);
+      logRow("even parts", nodes, users, equalBelow, simulateEqualShares(options, above), options);
+      logRow("shares by demand", nodes, users, sharesBelow, simulateDemandShares(options, above),
+             options);
+      BOOST_TEST(claimsBelow.passed >= equalBelow.passed);
       BOOST_TEST(claimsBelow.passed >= sharesBelow.passed);
       BOOST_TEST(claimsAbove.worst <= allowed(options));
     }
