--- a/src/config/bundle_holder.cc
+++ b/src/config/bundle_holder.cc
@@ -22,12 +22,12 @@
     return verified.error();
   }
   if (current_ && verified.value().version <= current_->version) {
-    return fail(ErrorKind::kVersionConflict, "the bundle is not newer than the one in force");
+    return fail(ErrorKind::kVersionConflict, "the bundle is not newer than the active one");
   }
   if (current_) {
-    earlier_.push_back({current_->version, digest_, std::move(currentSigned_.text)});
-    if (earlier_.size() > kEarlierTexts) {
-      earlier_.pop_front();
+    previousTexts_.push_back({current_->version, digest_, std::move(currentSigned_.text)});
+    if (previousTexts_.size() > kMaxPreviousTexts) {
+      previousTexts_.pop_front();
     }
   }
   current_ = std::make_shared<const bundle::Bundle>(std::move(verified.value()));
@@ -37,17 +37,18 @@
   return boost::outcome_v2::success();
 }
 
-const std::string* BundleHolder::earlierText(BundleDigest digest) const {
-  const auto found = std::find_if(earlier_.begin(), earlier_.end(),
-                                  [digest](const Earlier& item) { return item.digest == digest; });
-  return found == earlier_.end() ? nullptr : &found->text;
+const std::string* BundleHolder::previousText(BundleDigest digest) const {
+  const auto found =
+      std::find_if(previousTexts_.begin(), previousTexts_.end(),
+                   [digest](const PreviousText& item) { return item.digest == digest; });
+  return found == previousTexts_.end() ? nullptr : &found->text;
 }
 
-bool BundleHolder::contradicts(BundleVersion version, BundleDigest digest) const {
+bool BundleHolder::conflictsWith(BundleVersion version, BundleDigest digest) const {
   if (current_ && current_->version == version) {
     return digest_ != digest;
   }
-  return std::any_of(earlier_.begin(), earlier_.end(), [&](const Earlier& item) {
+  return std::any_of(previousTexts_.begin(), previousTexts_.end(), [&](const PreviousText& item) {
     return item.version == version && item.digest != digest;
   });
 }
--- a/src/config/configuration.cc
+++ b/src/config/configuration.cc
@@ -22,7 +22,7 @@
     return UnvouchedAction::kRefuse;
   }
   return fail(ErrorKind::kSettingsInvalid,
-              "config-unvouched-action: '" + std::string(text) + "' is not serve or refuse");
+              "config-unvouched-action: '" + std::string(text) + "' is neither serve nor refuse");
 }
 
 Configuration::Configuration(asio::any_io_executor executor, const ConfigurationSettings& settings,
@@ -34,10 +34,11 @@
       transport_(transport),
       metrics_(registry),
       holder_(std::move(rule), std::move(listener)),
-      vouching_(settings.vouchTerm, holder_),
+      freshness_(settings.vouchTerm, holder_),
       roster_(directory, settings.watchersPerZone),
-      relay_(settings.relay, transport, roster_, holder_, vouching_, metrics_, settings.store.seed),
-      watcher_(executor_, settings.store, client, roster_, holder_, vouching_, metrics_,
+      relay_(settings.relay, transport, roster_, holder_, freshness_, metrics_,
+             settings.store.seed),
+      watcher_(executor_, settings.store, client, roster_, holder_, freshness_, metrics_,
                [this] { relay_.announceIfNew(monotonicNow()); }) {}
 
 void Configuration::start() {
@@ -46,24 +47,24 @@
                            relay_.receive(from, payload, monotonicNow());
                          });
   watcher_.start();
-  asio::co_spawn(executor_, tickForever(), asio::detached);
+  asio::co_spawn(executor_, runTicks(), asio::detached);
 }
 
-asio::awaitable<void> Configuration::tickForever() {
+asio::awaitable<void> Configuration::runTicks() {
   asio::steady_timer timer(executor_);
-  bool wasVouched = false;
+  bool wasConfirmed = false;
   for (;;) {
     const MonotonicTime now = monotonicNow();
     relay_.tick(now);
-    const bool isVouched = vouching_.vouched(now);
-    const std::optional<Milliseconds> age = vouching_.age(now);
-    metrics_.setVouched(isVouched);
+    const bool isConfirmed = freshness_.confirmed(now);
+    const std::optional<Milliseconds> age = freshness_.age(now);
+    metrics_.setConfirmed(isConfirmed);
     metrics_.setConfirmationAge(age ? std::chrono::duration<double>(*age).count() : -1);
-    if (isVouched != wasVouched) {
-      log::write(isVouched ? log::Level::kInfo : log::Level::kWarning,
-                 isVouched ? "config_vouched" : "config_unvouched",
+    if (isConfirmed != wasConfirmed) {
+      log::write(isConfirmed ? log::Level::kInfo : log::Level::kWarning,
+                 isConfirmed ? "config_vouched" : "config_unvouched",
                  {{"version", std::to_string(holder_.version().value())}});
-      wasVouched = isVouched;
+      wasConfirmed = isConfirmed;
     }
     timer.expires_after(kTickInterval);
     co_await timer.async_wait(asio::use_awaitable);
@@ -72,9 +73,9 @@
 
 std::optional<Error> Configuration::refusal() const {
   if (!holder_.current()) {
-    return fail(ErrorKind::kNoConfiguration, "no signed bundle has arrived yet");
+    return fail(ErrorKind::kNoConfiguration, "no signed bundle has been received yet");
   }
-  if (settings_.unvouchedAction == UnvouchedAction::kRefuse && !vouched()) {
+  if (settings_.unvouchedAction == UnvouchedAction::kRefuse && !confirmed()) {
     return fail(ErrorKind::kNoConfiguration,
                 "the configuration has not been confirmed within config-vouch-term-ms");
   }
@@ -86,9 +87,9 @@
   json::object status{{"node", node},
                       {"zone", zone},
                       {"bundle_version", holder_.version().value()},
-                      {"vouched", vouching_.vouched(now)},
+                      {"vouched", freshness_.confirmed(now)},
                       {"watcher", roster_.isWatcher()}};
-  if (const std::optional<Milliseconds> age = vouching_.age(now)) {
+  if (const std::optional<Milliseconds> age = freshness_.age(now)) {
     status["confirmation_age_ms"] = age->count();
   }
   return json::serialize(status);
@@ -96,7 +97,7 @@
 
 void Configuration::mark(http::Response& response) const {
   response.headers.set(http::kConfigVersionHeader, std::to_string(holder_.version().value()));
-  if (!vouched()) {
+  if (!confirmed()) {
     response.headers.set(http::kConfigVouchedHeader, "false");
   }
 }
--- a/src/config/download.cc
+++ b/src/config/download.cc
@@ -22,17 +22,17 @@
 
 void Download::dropSource() {
   sources_.pop_front();
-  tries_ = 0;
+  attempts_ = 0;
 }
 
-void Download::take(const Piece& piece) {
+void Download::addPiece(const Piece& piece) {
   const bool usable = piece.target == target_ && piece.index < piece.count &&
                       piece.count <= kMaxPieces && (piece.base == base_ || piece.base.value() == 0);
   if (!usable) {
     return;
   }
   if (piece.base != base_) {
-    restartWhole();
+    restartWithFullText();
   }
   if (pieces_.empty()) {
     pieces_.resize(piece.count);
@@ -41,7 +41,7 @@
     return;
   }
   pieces_[piece.index] = piece.bytes;
-  tries_ = 0;
+  attempts_ = 0;
 }
 
 bool Download::complete() const {
@@ -56,10 +56,10 @@
   return all;
 }
 
-void Download::restartWhole() {
+void Download::restartWithFullText() {
   base_ = BundleDigest();
   pieces_.clear();
-  asked_.clear();
+  requestedPieces_.clear();
 }
 
 std::vector<std::uint16_t> Download::missing() const {
@@ -78,28 +78,28 @@
 }
 
 bool Download::windowArrived() const {
-  return std::all_of(asked_.begin(), asked_.end(), [this](std::uint16_t index) {
+  return std::all_of(requestedPieces_.begin(), requestedPieces_.end(), [this](std::uint16_t index) {
     return !pieces_.empty() && (index >= pieces_.size() || pieces_[index]);
   });
 }
 
 std::optional<Download::Request> Download::nextRequest(MonotonicTime now) {
-  const bool waiting = !asked_.empty() && !windowArrived();
+  const bool waiting = !requestedPieces_.empty() && !windowArrived();
   if (waiting) {
-    if (now - askedAt_ < kAnswerTimeout * (1 << tries_)) {
+    if (now - requestedAt_ < kAnswerTimeout * (1 << attempts_)) {
       return std::nullopt;
     }
-    ++tries_;
-    if (sources_.size() > 1 || tries_ >= kTriesOfLastSource) {
+    ++attempts_;
+    if (sources_.size() > 1 || attempts_ >= kLastSourceAttempts) {
       dropSource();
     }
   }
   if (sources_.empty()) {
     return std::nullopt;
   }
-  asked_ = missing();
-  askedAt_ = now;
-  return Request{sources_.front(), PieceRequest{target_, base_, asked_}};
+  requestedPieces_ = missing();
+  requestedAt_ = now;
+  return Request{sources_.front(), PieceRequest{target_, base_, requestedPieces_}};
 }
 
 }  // namespace calicodrift::config
--- a/src/config/download.h
+++ b/src/config/download.h
@@ -13,27 +13,27 @@
 
 namespace calicodrift::config {
 
-/// The pieces of one transfer as they arrive, and which to ask for again from whom. Does no I/O:
-/// the relay sends what nextRequest() says.
+/// Collects the pieces of one transfer and decides which to request next from which peer. Performs
+/// no I/O: the relay sends the result of nextRequest().
 class Download {
  public:
-  /// @param base text that this node holds, 0 for none.
+  /// @param base digest of the text that this node holds, 0 for none.
   Download(BundleVersion version, BundleDigest target, BundleDigest base, const Endpoint& source);
 
   BundleVersion version() const { return version_; }
   BundleDigest target() const { return target_; }
   BundleDigest base() const { return base_; }
-  /// Another peer that has the target in force; the one heard of last is asked first, as it is
+  /// Adds a peer that has the target active. The peer heard from last is asked first, because it is
   /// the most likely to be alive.
   void addSource(const Endpoint& source);
-  /// Takes a piece of this transfer; others are ignored.
-  void take(const Piece& piece);
+  /// Stores a piece of this transfer; other pieces are ignored.
+  void addPiece(const Piece& piece);
   bool complete() const;
-  /// All pieces in order; only where complete().
+  /// Concatenation of all pieces. Requires complete().
   std::string bytes() const;
-  /// Starts anew for the whole text: the delta was of no use.
-  void restartWhole();
-  /// The peer that is asked now.
+  /// Restarts the download with the full text because the delta could not be used.
+  void restartWithFullText();
+  /// Peer that is currently asked.
   const Endpoint& source() const { return sources_.front(); }
   void dropSource();
 
@@ -41,33 +41,34 @@
     Endpoint to;
     PieceRequest message;
   };
-  /// What to send now, or nothing while an answer may still come.
+  /// Next request to send, or nullopt while a reply may still arrive.
   std::optional<Request> nextRequest(MonotonicTime now);
-  /// No source answers.
+  /// True if no source is left.
   bool abandoned() const { return sources_.empty(); }
 
  private:
   std::vector<std::uint16_t> missing() const;
   bool windowArrived() const;
 
-  /// Pieces asked for at once.
+  /// Number of pieces requested at a time.
   static constexpr std::size_t kWindow = 16;
   static constexpr std::size_t kMaxSources = 8;
   static constexpr std::size_t kMaxPieces = kMaxTextBytes / kPieceBytes;
-  /// Unanswered requests to the last source left; the others are given up after one.
-  static constexpr int kTriesOfLastSource = 3;
-  /// First wait for an answer; doubles with each try of the same source.
+  /// Number of unanswered requests after which the last remaining source is dropped; other sources
+  /// are dropped after one.
+  static constexpr int kLastSourceAttempts = 3;
+  /// Initial reply timeout; doubled with each attempt on the same source.
   static constexpr Milliseconds kAnswerTimeout{250};
 
   BundleVersion version_;
   BundleDigest target_;
   BundleDigest base_;
   std::deque<Endpoint> sources_;
-  /// Empty until the first piece tells their number.
+  /// Empty until the first piece reports the number of pieces.
   std::vector<std::optional<std::string>> pieces_;
-  std::vector<std::uint16_t> asked_;
-  MonotonicTime askedAt_{};
-  int tries_ = 0;
+  std::vector<std::uint16_t> requestedPieces_;
+  MonotonicTime requestedAt_{};
+  int attempts_ = 0;
 };
 
 }  // namespace calicodrift::config
--- a/src/config/vouching.cc
+++ b/src/config/freshness_tracker.cc
@@ -1,41 +1,41 @@
-#include "config/vouching.h"
+#include "config/freshness_tracker.h"
 
 namespace calicodrift::config {
 
-void Vouching::confirm(BundleVersion version, BundleDigest digest, MonotonicTime readAt) {
+void FreshnessTracker::confirm(BundleVersion version, BundleDigest digest, MonotonicTime readAt) {
   if (version > holder_.version()) {
-    if (!waiting_ || waiting_->readAt < readAt) {
-      waiting_ = Entry{version, digest, readAt};
+    if (!pending_ || pending_->readAt < readAt) {
+      pending_ = Entry{version, digest, readAt};
     }
     return;
   }
   const bool newer = !newest_ || newest_->readAt < readAt;
-  if (newer && !holder_.contradicts(version, digest)) {
+  if (newer && !holder_.conflictsWith(version, digest)) {
     newest_ = Entry{version, digest, readAt};
   }
 }
 
-void Vouching::onAdopted() {
-  if (!waiting_ || waiting_->version > holder_.version()) {
+void FreshnessTracker::onAdopted() {
+  if (!pending_ || pending_->version > holder_.version()) {
     return;
   }
-  const Entry entry = *waiting_;
-  waiting_.reset();
+  const Entry entry = *pending_;
+  pending_.reset();
   confirm(entry.version, entry.digest, entry.readAt);
 }
 
-bool Vouching::vouched(MonotonicTime now) const {
+bool FreshnessTracker::confirmed(MonotonicTime now) const {
   return newest_ && now - newest_->readAt <= term_;
 }
 
-std::optional<Milliseconds> Vouching::age(MonotonicTime now) const {
+std::optional<Milliseconds> FreshnessTracker::age(MonotonicTime now) const {
   if (!newest_) {
     return std::nullopt;
   }
   return std::chrono::ceil<Milliseconds>(now - newest_->readAt);
 }
 
-std::optional<Confirmation> Vouching::newest(MonotonicTime now) const {
+std::optional<Confirmation> FreshnessTracker::newest(MonotonicTime now) const {
   if (!newest_) {
     return std::nullopt;
   }
--- a/src/config/messages.h
+++ b/src/config/messages.h
@@ -11,10 +11,11 @@
 #include "config/text_patch.h"
 #include "peer/transport.h"
 
-/// What nodes say to each other on Channel::kConfig.
+/// Messages between nodes on Channel::kConfig.
 namespace calicodrift::config {
 
-/// A read of the store that a watcher began `ageMs` ago showed this version as the newest one.
+/// States that a read of the store, which a watcher started `ageMs` ago, returned this version as
+/// the newest one.
 struct Confirmation {
   BundleVersion version;
   BundleDigest digest;
@@ -26,7 +27,7 @@
   }
 };
 
-/// Asks for the peer's version and newest confirmation, and tells the asker's own version.
+/// Requests the peer's version and latest confirmation, and reports the sender's own version.
 struct StatusQuery {
   std::uint64_t nonce = 0;
   BundleVersion version;
@@ -42,7 +43,7 @@
   std::uint64_t nonce = 0;
   BundleVersion version;
   BundleDigest digest;
-  /// None or one.
+  /// At most one confirmation.
   std::vector<Confirmation> confirmation;
 
   template <typename Archive>
@@ -51,7 +52,7 @@
   }
 };
 
-/// The sender has this version in force.
+/// Announces that the sender has this version active.
 struct Announcement {
   BundleVersion version;
   BundleDigest digest;
@@ -62,10 +63,10 @@
   }
 };
 
-/// Asks for some pieces of the transfer that leads from `base` to `target`.
+/// Requests pieces of the transfer from `base` to `target`.
 struct PieceRequest {
   BundleDigest target;
-  /// Text that the asker holds; 0 where the whole is wanted.
+  /// Digest of the text that the sender holds; 0 to request the full text.
   BundleDigest base;
   std::vector<std::uint16_t> indexes;
 
@@ -78,7 +79,7 @@
 /// One piece of an encoded Transfer.
 struct Piece {
   BundleDigest target;
-  /// 0 where the sender no longer holds the asker's base and sends the whole.
+  /// 0 if the sender no longer holds the requested base and sends the full text.
   BundleDigest base;
   std::uint16_t index = 0;
   std::uint16_t count = 0;
@@ -92,7 +93,7 @@
 
 using RelayMessage = std::variant<StatusQuery, StatusReply, Announcement, PieceRequest, Piece>;
 
-/// Content bytes of a piece, so that the encoded message stays within one datagram.
+/// Content bytes of a piece, chosen so that the encoded message fits in one datagram.
 inline constexpr std::size_t kPieceBytes = peer::kMaxPayloadBytes - 60;
 
 struct TransferSignature {
@@ -105,8 +106,8 @@
   }
 };
 
-/// A signed bundle as a patch of an earlier text. The signatures cover the text that results, so
-/// that neither a wrong base nor a wrong patch can be adopted.
+/// A signed bundle as a patch of an earlier text. The signatures cover the resulting text, so
+/// neither a wrong base nor a wrong patch can lead to an adoption.
 struct Transfer {
   std::vector<TransferSignature> signatures;
   TextPatch patch;
--- a/src/config/metrics.cc
+++ b/src/config/metrics.cc
@@ -44,7 +44,7 @@
       servingBound_(counters(registry, "serving_bound_total",
                              "Requests of peers left unanswered because of the serving bound")
                         .Add({})),
-      vouched_(gauge(registry, "vouched", "1 while the version in force is confirmed")),
+      confirmed_(gauge(registry, "vouched", "1 while the version in force is confirmed")),
       confirmationAge_(gauge(registry, "confirmation_age_seconds",
                              "Age of the newest confirmation by the store; -1 for none")),
       watcher_(gauge(registry, "watcher", "1 while this node reads the store")) {}
--- a/src/config/metrics.h
+++ b/src/config/metrics.h
@@ -9,30 +9,31 @@
 
 namespace calicodrift::config {
 
-/// Where a bundle came from.
+/// Origin of a bundle.
 enum class BundleSource { kStore, kPeer };
 std::string_view toString(BundleSource source);
 
-/// All counters of the config module.
+/// All metrics of the config module.
 class ConfigMetrics {
  public:
   explicit ConfigMetrics(prometheus::Registry& registry);
 
   void countAdopted(BundleSource source);
-  /// A bundle that was offered and not adopted. One that is merely not newer doesn't count.
+  /// Counts a bundle that was offered but rejected, unless it was merely not newer.
   void countRejected(BundleSource source, ErrorKind kind);
-  /// A read or watch of the store: "ok", "compacted", "restored", "unavailable".
+  /// Counts a read or watch of the store; the outcome is "ok", "compacted", "restored" or
+  /// "unavailable".
   void countStoreRead(std::string_view outcome);
-  /// The store held an older version than this node had before it asked.
+  /// Counts a read in which the store held an older version than this node had before the read.
   void countStoreBehind() { storeBehind_.Increment(); }
-  /// Somebody has another text under the version in force here.
+  /// Counts a different text found elsewhere under the active version.
   void countContradiction() { contradictions_.Increment(); }
   void countSent(std::string_view message, std::size_t bytes);
-  /// A transfer that led to an adoption: "delta" or "whole".
+  /// Counts a transfer that led to an adoption; the form is "delta" or "whole".
   void countTransfer(std::string_view form, std::size_t bytes);
-  /// A request for pieces that was left unanswered because the bound on serving was reached.
+  /// Counts a request for pieces that was dropped because of the serving limit.
   void countServingBound() { servingBound_.Increment(); }
-  void setVouched(bool vouched) { vouched_.Set(vouched ? 1 : 0); }
+  void setConfirmed(bool confirmed) { confirmed_.Set(confirmed ? 1 : 0); }
   void setConfirmationAge(double seconds) { confirmationAge_.Set(seconds); }
   void setWatcher(bool watcher) { watcher_.Set(watcher ? 1 : 0); }
 
@@ -47,7 +48,7 @@
   prometheus::Family<prometheus::Counter>& transfers_;
   prometheus::Family<prometheus::Counter>& transferBytes_;
   prometheus::Counter& servingBound_;
-  prometheus::Gauge& vouched_;
+  prometheus::Gauge& confirmed_;
   prometheus::Gauge& confirmationAge_;
   prometheus::Gauge& watcher_;
 };
--- a/src/config/relay.cc
+++ b/src/config/relay.cc
@@ -8,27 +8,28 @@
 namespace calicodrift::config {
 namespace {
 
-/// A lost question is repeated after this, so often, before the usual interval applies.
-constexpr Milliseconds kRepeatInterval{300};
-constexpr int kRepeats = 3;
-/// Answers that take longer are worthless as confirmations.
-constexpr Milliseconds kLongestAnswer{5000};
-/// A node without a bundle asks so many peers at once.
-constexpr std::size_t kFreshNodeQuestions = 3;
-constexpr Milliseconds kRefusedFor{10'000};
-constexpr std::size_t kMaxRefused = 64;
+/// A lost query is retried at this interval, this many times, before the normal interval applies.
+constexpr Milliseconds kQueryRetryInterval{300};
+constexpr int kQueryRetries = 3;
+/// Replies that take longer are useless as confirmations.
+constexpr Milliseconds kMaxReplyDelay{5000};
+/// Number of peers that a node without a bundle queries at a time.
+constexpr std::size_t kInitialQueryFanout = 3;
+constexpr Milliseconds kRejectionPeriod{10'000};
+constexpr std::size_t kMaxRejections = 64;
 constexpr std::array<std::string_view, 5> kMessageNames{"query", "reply", "announcement", "request",
                                                         "piece"};
 
 }  // namespace
 
 Relay::Relay(RelaySettings settings, peer::Transport& transport, Roster& roster,
-             BundleHolder& holder, Vouching& vouching, ConfigMetrics& metrics, std::uint64_t seed)
+             BundleHolder& holder, FreshnessTracker& freshness, ConfigMetrics& metrics,
+             std::uint64_t seed)
     : settings_(settings),
       transport_(transport),
       roster_(roster),
       holder_(holder),
-      vouching_(vouching),
+      freshness_(freshness),
       metrics_(metrics),
       random_(seed),
       servingBudget_(static_cast<double>(settings.piecesPerSecond)) {}
@@ -50,7 +51,7 @@
   budgetAt_ = now;
   announceIfNew(now);
   if (now >= nextQuery_) {
-    askForStatus(now);
+    sendStatusQueries(now);
   }
   continueDownload(now);
 }
@@ -61,14 +62,14 @@
   }
   announced_ = holder_.digest();
   transfers_.clear();
-  vouching_.onAdopted();
+  freshness_.onAdopted();
   if (download_ && download_->version() <= holder_.version()) {
     download_.reset();
   }
   roster_.refresh(now);
   const Announcement announcement{holder_.version(), holder_.digest()};
-  for (const Endpoint& peer :
-       roster_.chooseAnnounced(settings_.announcedInZone, settings_.announcedElsewhere, random_)) {
+  for (const Endpoint& peer : roster_.chooseAnnouncementTargets(
+           settings_.announcedInZone, settings_.announcedElsewhere, random_)) {
     send(peer, announcement);
   }
 }
@@ -79,18 +80,19 @@
   transport_.send(to, peer::Channel::kConfig, std::move(payload));
 }
 
-void Relay::askForStatus(MonotonicTime now) {
-  std::erase_if(askedAt_, [now](const auto& item) { return now - item.second > kLongestAnswer; });
-  const bool repeat = unanswered_ < kRepeats;
-  unanswered_ = repeat ? unanswered_ + 1 : 0;
-  nextQuery_ = now + (repeat ? kRepeatInterval : settings_.queryInterval);
+void Relay::sendStatusQueries(MonotonicTime now) {
+  std::erase_if(querySentAt_,
+                [now](const auto& item) { return now - item.second > kMaxReplyDelay; });
+  const bool repeat = unansweredQueries_ < kQueryRetries;
+  unansweredQueries_ = repeat ? unansweredQueries_ + 1 : 0;
+  nextQuery_ = now + (repeat ? kQueryRetryInterval : settings_.queryInterval);
   if (!holder_.current()) {
-    if (roster_.alone()) {
-      // The first peer is asked as soon as it is known.
+    if (roster_.hasNoPeers()) {
+      // Query the first peer as soon as it is known.
       nextQuery_ = now;
-      unanswered_ = 0;
+      unansweredQueries_ = 0;
     }
-    for (const Endpoint& peer : roster_.chooseAny(kFreshNodeQuestions, random_)) {
+    for (const Endpoint& peer : roster_.chooseRandomPeers(kInitialQueryFanout, random_)) {
       sendQuery(peer, now);
     }
     return;
@@ -103,54 +105,55 @@
 
 void Relay::sendQuery(const Endpoint& to, MonotonicTime now) {
   const std::uint64_t nonce = random_();
-  askedAt_[nonce] = now;
+  querySentAt_[nonce] = now;
   send(to, StatusQuery{nonce, holder_.version(), holder_.digest()});
 }
 
 void Relay::handle(const Endpoint& from, const StatusQuery& query, MonotonicTime now) {
   StatusReply reply{query.nonce, holder_.version(), holder_.digest(), {}};
-  if (const auto confirmation = vouching_.newest(now)) {
+  if (const auto confirmation = freshness_.newest(now)) {
     reply.confirmation.push_back(*confirmation);
   }
   send(from, reply);
-  heardOf(query.version, query.digest, from, now);
+  handlePeerVersion(query.version, query.digest, from, now);
 }
 
 void Relay::handle(const Endpoint& from, const StatusReply& reply, MonotonicTime now) {
-  const auto asked = askedAt_.find(reply.nonce);
-  if (asked == askedAt_.end()) {
+  const auto query = querySentAt_.find(reply.nonce);
+  if (query == querySentAt_.end()) {
     return;
   }
-  const MonotonicTime askedAt = asked->second;
-  askedAt_.erase(asked);
-  unanswered_ = 0;
-  // Spread, so that nodes that started together don't ask together for ever.
+  const MonotonicTime sentAt = query->second;
+  querySentAt_.erase(query);
+  unansweredQueries_ = 0;
+  // Randomized so that nodes that started together do not keep querying at the same time.
   const std::int64_t interval = settings_.queryInterval.count();
   std::uniform_int_distribution<std::int64_t> spread(interval * 3 / 4, interval * 5 / 4);
   nextQuery_ = now + Milliseconds(spread(random_));
-  constexpr std::uint64_t kLongestAgeMs = 86'400'000;
+  constexpr std::uint64_t kMaxAgeMs = 86'400'000;
   for (const Confirmation& confirmation : reply.confirmation) {
-    // The age was true at some moment after the question left, so this is never too recent.
-    const Milliseconds age(std::min(confirmation.ageMs, kLongestAgeMs));
-    vouching_.confirm(confirmation.version, confirmation.digest, askedAt - age);
+    // The age was correct at some time after the query was sent, so the resulting time is never too
+    // recent.
+    const Milliseconds age(std::min(confirmation.ageMs, kMaxAgeMs));
+    freshness_.confirm(confirmation.version, confirmation.digest, sentAt - age);
   }
-  heardOf(reply.version, reply.digest, from, now);
+  handlePeerVersion(reply.version, reply.digest, from, now);
 }
 
 void Relay::handle(const Endpoint& from, const Announcement& announcement, MonotonicTime now) {
-  heardOf(announcement.version, announcement.digest, from, now);
+  handlePeerVersion(announcement.version, announcement.digest, from, now);
 }
 
-void Relay::heardOf(BundleVersion version, BundleDigest digest, const Endpoint& from,
-                    MonotonicTime now) {
+void Relay::handlePeerVersion(BundleVersion version, BundleDigest digest, const Endpoint& from,
+                              MonotonicTime now) {
   if (version <= holder_.version()) {
-    if (version.value() > 0 && holder_.contradicts(version, digest)) {
+    if (version.value() > 0 && holder_.conflictsWith(version, digest)) {
       metrics_.countContradiction();
     }
     return;
   }
-  const auto refused = refused_.find({digest, from});
-  if (refused != refused_.end() && now < refused->second) {
+  const auto rejection = rejections_.find({digest, from});
+  if (rejection != rejections_.end() && now < rejection->second) {
     return;
   }
   if (download_ && download_->target() == digest) {
@@ -172,7 +175,7 @@
   if (request) {
     send(request->to, request->message);
   } else if (download_->abandoned()) {
-    // Whoever has it will be heard of again.
+    // Peers that have the version will announce it again.
     download_.reset();
   }
 }
@@ -185,7 +188,7 @@
     send(from, Announcement{holder_.version(), holder_.digest()});
     return;
   }
-  const bool known = holder_.earlierText(request.base) != nullptr;
+  const bool known = holder_.previousText(request.base) != nullptr;
   const BundleDigest base = known ? request.base : BundleDigest();
   const std::string& transfer = transferFrom(base);
   const std::size_t count = (transfer.size() + kPieceBytes - 1) / kPieceBytes;
@@ -210,7 +213,7 @@
     return known->second;
   }
   const bundle::SignedBundle& current = holder_.currentSigned();
-  const std::string* baseText = holder_.earlierText(base);
+  const std::string* baseText = holder_.previousText(base);
   Transfer transfer;
   for (const bundle::Signature& signature : current.signatures) {
     transfer.signatures.push_back({signature.signer, signature.signatureHex});
@@ -223,7 +226,7 @@
   if (!download_) {
     return;
   }
-  download_->take(piece);
+  download_->addPiece(piece);
   if (download_->complete()) {
     finishDownload(now);
   } else {
@@ -245,7 +248,7 @@
     return text.error();
   }
   if (digestOf(text.value()) != download.target()) {
-    return fail(ErrorKind::kProtocolViolation, "a transfer made another text than the one asked");
+    return fail(ErrorKind::kProtocolViolation, "a transfer produced a text with the wrong digest");
   }
   bundle::SignedBundle signedBundle{std::move(text.value()), {}};
   for (const TransferSignature& signature : transfer.value().signatures) {
@@ -255,12 +258,12 @@
 }
 
 void Relay::finishDownload(MonotonicTime now) {
-  const bool whole = download_->base().value() == 0;
+  const bool isFullText = download_->base().value() == 0;
   Result<bundle::SignedBundle> assembled = assemble(*download_);
   const Result<void> adopted =
       assembled ? holder_.adopt(assembled.value()) : Result<void>(assembled.error());
   if (adopted) {
-    metrics_.countTransfer(whole ? "whole" : "delta", download_->bytes().size());
+    metrics_.countTransfer(isFullText ? "whole" : "delta", download_->bytes().size());
     metrics_.countAdopted(BundleSource::kPeer);
     download_.reset();
     announceIfNew(now);
@@ -269,17 +272,17 @@
   if (adopted.error().kind != ErrorKind::kVersionConflict) {
     metrics_.countRejected(BundleSource::kPeer, adopted.error().kind);
   }
-  if (!whole) {
-    download_->restartWhole();
+  if (!isFullText) {
+    download_->restartWithFullText();
     continueDownload(now);
     return;
   }
-  if (refused_.size() >= kMaxRefused) {
-    refused_.clear();
+  if (rejections_.size() >= kMaxRejections) {
+    rejections_.clear();
   }
-  refused_[{download_->target(), download_->source()}] = now + kRefusedFor;
+  rejections_[{download_->target(), download_->source()}] = now + kRejectionPeriod;
   download_->dropSource();
-  download_->restartWhole();
+  download_->restartWithFullText();
   continueDownload(now);
 }
 
--- a/src/config/relay.h
+++ b/src/config/relay.h
@@ -13,40 +13,43 @@
 #include "common/clock.h"
 #include "config/bundle_holder.h"
 #include "config/download.h"
+#include "config/freshness_tracker.h"
 #include "config/messages.h"
 #include "config/metrics.h"
 #include "config/roster.h"
-#include "config/vouching.h"
 #include "peer/transport.h"
 
 namespace calicodrift::config {
 
 struct RelaySettings {
-  /// Peers that hear of a new version from each node that adopts it.
+  /// Number of peers to which each node that adopts a new version announces it.
   std::size_t announcedInZone = 4;
   std::size_t announcedElsewhere = 2;
-  /// Between two questions for a peer's version and confirmation.
+  /// Interval between two status queries.
   Milliseconds queryInterval{1000};
-  /// Bound on what peers are sent, so that a herd of fresh nodes can't take up this one.
+  /// Limit on the pieces sent to peers, so that many nodes restarting at once cannot overload this
+  /// one.
   std::size_t piecesPerSecond = 800;
 };
 
-/// Carries bundles and confirmations between nodes. Does no I/O of its own and reads no clock.
+/// Distributes bundles and confirmations between nodes. Performs no I/O of its own and reads no
+/// clock.
 ///
-/// A node that adopts a version announces it once to a few peers, who fetch it as a delta from
-/// their own text and announce it in turn. Whoever missed that learns of it from the question that
-/// each node asks a peer every second. What arrives is adopted through the BundleHolder only, so
-/// no message can bring an unsigned, half or older bundle into force.
+/// A node that adopts a version announces it once to a few peers, which fetch it as a delta from
+/// their own text and announce it in turn. A node that missed the announcement learns of the
+/// version from the status query that each node sends to a peer every second. Received bundles are
+/// adopted through the BundleHolder only, so no message can activate an unsigned, incomplete or
+/// older bundle.
 class Relay {
  public:
   Relay(RelaySettings settings, peer::Transport& transport, Roster& roster, BundleHolder& holder,
-        Vouching& vouching, ConfigMetrics& metrics, std::uint64_t seed);
+        FreshnessTracker& freshness, ConfigMetrics& metrics, std::uint64_t seed);
 
-  /// A message of Channel::kConfig.
+  /// Handles a message on Channel::kConfig.
   void receive(const Endpoint& from, std::string_view payload, MonotonicTime now);
-  /// To be called about ten times a second.
+  /// Must be called about ten times a second.
   void tick(MonotonicTime now);
-  /// Announces the version in force where that has not been done. To be called after an adoption.
+  /// Announces the active version unless that was already done. Must be called after an adoption.
   void announceIfNew(MonotonicTime now);
 
  private:
@@ -57,13 +60,14 @@
   void handle(const Endpoint& from, const Piece& piece, MonotonicTime now);
 
   void send(const Endpoint& to, const RelayMessage& message);
-  void askForStatus(MonotonicTime now);
+  void sendStatusQueries(MonotonicTime now);
   void sendQuery(const Endpoint& to, MonotonicTime now);
-  /// A peer has this version in force.
-  void heardOf(BundleVersion version, BundleDigest digest, const Endpoint& from, MonotonicTime now);
+  /// Handles the fact that a peer has this version active.
+  void handlePeerVersion(BundleVersion version, BundleDigest digest, const Endpoint& from,
+                         MonotonicTime now);
   void continueDownload(MonotonicTime now);
   void finishDownload(MonotonicTime now);
-  /// The whole transfer from `base` to the version in force, encoded.
+  /// Encoded transfer from `base` to the active version.
   const std::string& transferFrom(BundleDigest base);
   Result<bundle::SignedBundle> assemble(const Download& download) const;
 
@@ -71,18 +75,18 @@
   peer::Transport& transport_;
   Roster& roster_;
   BundleHolder& holder_;
-  Vouching& vouching_;
+  FreshnessTracker& freshness_;
   ConfigMetrics& metrics_;
   std::mt19937_64 random_;
   BundleDigest announced_;
   std::optional<Download> download_;
-  /// Peers whose text under a digest failed the verification, and until when it is not fetched
-  /// from them again. Others may have the same text with better signatures.
-  std::map<std::pair<BundleDigest, Endpoint>, MonotonicTime> refused_;
+  /// Peers whose text with this digest failed verification, and the time until which it is not
+  /// fetched from them again. Other peers may have the same text with valid signatures.
+  std::map<std::pair<BundleDigest, Endpoint>, MonotonicTime> rejections_;
   std::map<BundleDigest, std::string> transfers_;
-  std::unordered_map<std::uint64_t, MonotonicTime> askedAt_;
+  std::unordered_map<std::uint64_t, MonotonicTime> querySentAt_;
   MonotonicTime nextQuery_{};
-  int unanswered_ = 0;
+  int unansweredQueries_ = 0;
   double servingBudget_ = 0;
   MonotonicTime budgetAt_{};
 };
--- a/src/config/roster.cc
+++ b/src/config/roster.cc
@@ -13,11 +13,11 @@
 namespace {
 
 constexpr Milliseconds kReadInterval{1000};
-/// Nodes ahead that one chooses among: a quarter of those before it, so that the tree is about
-/// log4(zone) deep and no node is asked by many.
+/// A node chooses among a quarter of the nodes ahead of it, so that the tree is about log4(zone
+/// size) deep and no node is queried by many.
 constexpr std::size_t kTreeFanout = 4;
-/// One in so many questions goes to another zone, in case this one is cut off from the store.
-constexpr std::uint64_t kForeignQuestionShare = 8;
+/// One in this many queries goes to another zone, in case this zone is cut off from the store.
+constexpr std::uint64_t kRemoteZoneQueryRatio = 8;
 
 struct Ranked {
   std::uint64_t weight = 0;
@@ -47,7 +47,7 @@
 }  // namespace
 
 void Roster::refresh(MonotonicTime now) {
-  // A node that has just started learns of its peers at any moment.
+  // A node that has just started may learn of its peers at any time.
   if (readAt_ && now - *readAt_ < kReadInterval && !peers_.empty()) {
     return;
   }
@@ -66,7 +66,7 @@
     }
   }
   zone_.clear();
-  foreignWatchers_.clear();
+  remoteWatchers_.clear();
   rank_ = 0;
   for (auto& [zone, nodes] : zones) {
     const bool ownZone = zone == self.zone;
@@ -80,7 +80,7 @@
                         nodes.end());
       nodes.resize(kept);
     }
-    std::vector<Endpoint>& endpoints = ownZone ? zone_ : foreignWatchers_;
+    std::vector<Endpoint>& endpoints = ownZone ? zone_ : remoteWatchers_;
     for (const Ranked& node : nodes) {
       endpoints.push_back(node.endpoint);
     }
@@ -88,9 +88,9 @@
 }
 
 std::optional<Endpoint> Roster::chooseSource(std::mt19937_64& random) const {
-  const bool foreign = isWatcher() || random() % kForeignQuestionShare == 0;
-  if (foreign && !foreignWatchers_.empty()) {
-    return foreignWatchers_[randomIndex(foreignWatchers_.size(), random)];
+  const bool remote = isWatcher() || random() % kRemoteZoneQueryRatio == 0;
+  if (remote && !remoteWatchers_.empty()) {
+    return remoteWatchers_[randomIndex(remoteWatchers_.size(), random)];
   }
   const std::size_t ahead =
       std::clamp(rank_ / kTreeFanout, std::min(watchersPerZone_, zone_.size()), zone_.size());
@@ -100,15 +100,15 @@
   return zone_[randomIndex(ahead, random)];
 }
 
-std::vector<Endpoint> Roster::chooseAnnounced(std::size_t inZone, std::size_t elsewhere,
-                                              std::mt19937_64& random) const {
+std::vector<Endpoint> Roster::chooseAnnouncementTargets(std::size_t inZone, std::size_t elsewhere,
+                                                        std::mt19937_64& random) const {
   std::vector<Endpoint> chosen = sampleOf(zone_, inZone, random);
   const std::vector<Endpoint> others = sampleOf(elsewhere_, elsewhere, random);
   chosen.insert(chosen.end(), others.begin(), others.end());
   return chosen;
 }
 
-std::vector<Endpoint> Roster::chooseAny(std::size_t count, std::mt19937_64& random) const {
+std::vector<Endpoint> Roster::chooseRandomPeers(std::size_t count, std::mt19937_64& random) const {
   return sampleOf(peers_, count, random);
 }
 
--- a/src/config/store_view.cc
+++ b/src/config/store_view.cc
@@ -2,29 +2,30 @@
 
 namespace calicodrift::config {
 
-StoreView::StoreView(const Roster& roster, BundleHolder& holder, Vouching& vouching,
+StoreView::StoreView(const Roster& roster, BundleHolder& holder, FreshnessTracker& freshness,
                      ConfigMetrics& metrics, Listener onAdopted)
     : roster_(roster),
       holder_(holder),
-      vouching_(vouching),
+      freshness_(freshness),
       metrics_(metrics),
       onAdopted_(std::move(onAdopted)) {}
 
 bool StoreView::shouldRead(MonotonicTime now) {
-  if (!firstAsked_) {
-    firstAsked_ = now;
+  if (!firstCheckedAt_) {
+    firstCheckedAt_ = now;
   }
   if (roster_.isWatcher()) {
     return true;
   }
   const std::size_t rank = roster_.successorRank();
-  const Milliseconds silence =
-      vouching_.age(now).value_or(std::chrono::floor<Milliseconds>(now - *firstAsked_));
+  const Milliseconds sinceConfirmation =
+      freshness_.age(now).value_or(std::chrono::floor<Milliseconds>(now - *firstCheckedAt_));
   return rank < kSuccessors &&
-         silence > vouching_.term() / 2 + kSuccessorStep * static_cast<std::int64_t>(rank);
+         sinceConfirmation >
+             freshness_.term() / 2 + kSuccessorStep * static_cast<std::int64_t>(rank);
 }
 
-void StoreView::takeObject(const object_api::StoredObject& object) {
+void StoreView::handleObject(const object_api::StoredObject& object) {
   storeDigest_ = BundleDigest();
   const Result<bundle::SignedBundle> signedBundle = bundle::signedBundleFromJson(object.spec);
   if (!signedBundle) {
@@ -53,20 +54,21 @@
   }
 }
 
-void StoreView::takeBookmark(MonotonicTime readAt, BundleVersion versionThen) {
+void StoreView::handleBookmark(MonotonicTime readAt, BundleVersion versionThen) {
   if (storeDigest_.value() == 0) {
     return;
   }
   if (storeVersion_ < versionThen) {
-    // Versions never go back; the store was restored to an older state. Nothing is confirmed then.
+    // Versions never decrease, so the store was restored to an older state. Nothing is confirmed in
+    // that case.
     metrics_.countStoreBehind();
     return;
   }
-  if (holder_.contradicts(storeVersion_, storeDigest_)) {
+  if (holder_.conflictsWith(storeVersion_, storeDigest_)) {
     metrics_.countContradiction();
     return;
   }
-  vouching_.confirm(storeVersion_, storeDigest_, readAt);
+  freshness_.confirm(storeVersion_, storeDigest_, readAt);
 }
 
 }  // namespace calicodrift::config
--- a/src/config/store_watcher.cc
+++ b/src/config/store_watcher.cc
@@ -8,20 +8,20 @@
 
 namespace asio = boost::asio;
 using asio::awaitable;
-/// For the directory to fill after a start.
-constexpr Milliseconds kShortestStartPause{500};
-constexpr Milliseconds kLongestStartPause{1500};
+/// Delay after a start in which the directory is filled.
+constexpr Milliseconds kMinStartDelay{500};
+constexpr Milliseconds kMaxStartDelay{1500};
 constexpr Milliseconds kFirstBackoff{100};
-constexpr Milliseconds kLongestBackoff{4000};
+constexpr Milliseconds kMaxBackoff{4000};
 constexpr std::size_t kMaxBackoffDoublings = 6;
-/// Between two looks at the roster by a node that is no watcher.
-constexpr Milliseconds kRosterPause{250};
+/// Interval at which a node that is not a watcher checks the roster.
+constexpr Milliseconds kRosterPollInterval{250};
 
 }  // namespace
 
 StoreWatcher::StoreWatcher(asio::any_io_executor executor, StoreWatcherSettings settings,
                            http::Client& client, Roster& roster, BundleHolder& holder,
-                           Vouching& vouching, ConfigMetrics& metrics,
+                           FreshnessTracker& freshness, ConfigMetrics& metrics,
                            StoreView::Listener onAdopted)
     : executor_(std::move(executor)),
       settings_(std::move(settings)),
@@ -29,7 +29,7 @@
       roster_(roster),
       holder_(holder),
       metrics_(metrics),
-      view_(roster, holder, vouching, metrics, std::move(onAdopted)),
+      view_(roster, holder, freshness, metrics, std::move(onAdopted)),
       random_(settings_.seed) {}
 
 void StoreWatcher::start() {
@@ -40,14 +40,14 @@
 
 awaitable<void> StoreWatcher::run() {
   if (settings_.joinsPeers) {
-    co_await pause(kShortestStartPause, kLongestStartPause);
+    co_await sleepRandomly(kMinStartDelay, kMaxStartDelay);
   }
   for (;;) {
     roster_.refresh(monotonicNow());
     const bool reads = view_.shouldRead(monotonicNow());
     metrics_.setWatcher(reads);
     if (!reads) {
-      co_await pause(kRosterPause, kRosterPause);
+      co_await sleepRandomly(kRosterPollInterval, kRosterPollInterval);
       continue;
     }
     const bool answered = co_await watchOnce();
@@ -57,12 +57,12 @@
     }
     const std::size_t doublings = std::min(failures_, kMaxBackoffDoublings);
     ++failures_;
-    const Milliseconds longest = std::min(kFirstBackoff * (1 << doublings), kLongestBackoff);
-    co_await pause(longest / 2, longest);
+    const Milliseconds longest = std::min(kFirstBackoff * (1 << doublings), kMaxBackoff);
+    co_await sleepRandomly(longest / 2, longest);
   }
 }
 
-awaitable<void> StoreWatcher::pause(Milliseconds shortest, Milliseconds longest) {
+awaitable<void> StoreWatcher::sleepRandomly(Milliseconds shortest, Milliseconds longest) {
   std::uniform_int_distribution<std::int64_t> length(shortest.count(), longest.count());
   asio::steady_timer timer(executor_, Milliseconds(length(random_)));
   co_await timer.async_wait(asio::use_awaitable);
@@ -77,14 +77,14 @@
   const BundleVersion versionThen = holder_.version();
   object_api::ObjectApiClient store(client_, endpoint());
   auto watch =
-      co_await store.watch(std::string(bundle::kStoreKind), std::string(bundle::kStoreName), seen_,
-                           settings_.watchDuration);
+      co_await store.watch(std::string(bundle::kStoreKind), std::string(bundle::kStoreName),
+                           lastSeenVersion_, settings_.watchDuration);
   if (!watch) {
     const bool compacted = watch.error().kind == ErrorKind::kVersionConflict;
     metrics_.countStoreRead(compacted ? "compacted" : "unavailable");
     if (compacted) {
-      // The next watch starts from the object as it is now.
-      seen_ = object_api::ResourceVersion();
+      // The next watch starts from the current state of the object.
+      lastSeenVersion_ = object_api::ResourceVersion();
     }
     co_return compacted;
   }
@@ -100,21 +100,22 @@
       co_return true;
     }
     const object_api::WatchEvent& content = *event.value();
-    if (content.object.version < seen_) {
-      // The whole store was restored to an earlier state: what was seen of it no longer holds.
+    if (content.object.version < lastSeenVersion_) {
+      // The whole store was restored to an earlier state, so what was seen of it is no longer
+      // valid.
       metrics_.countStoreRead("restored");
-      seen_ = object_api::ResourceVersion();
+      lastSeenVersion_ = object_api::ResourceVersion();
       co_return true;
     }
-    seen_ = content.object.version;
+    lastSeenVersion_ = content.object.version;
     if (content.kind == object_api::WatchEvent::Kind::kModified) {
-      view_.takeObject(content.object);
+      view_.handleObject(content.object);
       if (current) {
-        // This watch began before the change; the next one confirms it without delay.
+        // This watch started before the change; the next one confirms the change without delay.
         co_return true;
       }
     } else {
-      view_.takeBookmark(readAt, versionThen);
+      view_.handleBookmark(readAt, versionThen);
       current = true;
     }
   }
--- a/src/config/store_watcher.h
+++ b/src/config/store_watcher.h
@@ -7,10 +7,10 @@
 #include <vector>
 
 #include "config/bundle_holder.h"
+#include "config/freshness_tracker.h"
 #include "config/metrics.h"
 #include "config/roster.h"
 #include "config/store_view.h"
-#include "config/vouching.h"
 #include "http/client.h"
 #include "object_api/object_api.h"
 
@@ -18,28 +18,28 @@
 
 struct StoreWatcherSettings {
   std::vector<Endpoint> objectApi;
-  /// Length of one watch; each new one confirms the version in force.
+  /// Duration of one watch; each new watch confirms the active version.
   Milliseconds watchDuration{1000};
-  /// Whether other nodes may be known soon; then the first read waits for them, so that a herd of
-  /// restarted nodes doesn't read the store all at once.
+  /// True if other nodes may be discovered soon. The first read then waits for them, so that nodes
+  /// restarting at the same time do not all read the store at once.
   bool joinsPeers = false;
   std::uint64_t seed = 0;
 };
 
-/// Watches the bundle in the store while StoreView::shouldRead() says so. Writes
-/// nothing, so that two nodes that both believe to be the watcher do no harm.
+/// Watches the bundle in the store while StoreView::shouldRead() returns true. It never writes, so
+/// two nodes that both consider themselves watchers do no harm.
 class StoreWatcher {
  public:
   StoreWatcher(boost::asio::any_io_executor executor, StoreWatcherSettings settings,
-               http::Client& client, Roster& roster, BundleHolder& holder, Vouching& vouching,
-               ConfigMetrics& metrics, StoreView::Listener onAdopted);
+               http::Client& client, Roster& roster, BundleHolder& holder,
+               FreshnessTracker& freshness, ConfigMetrics& metrics, StoreView::Listener onAdopted);
 
   void start();
 
  private:
   boost::asio::awaitable<void> run();
-  boost::asio::awaitable<void> pause(Milliseconds shortest, Milliseconds longest);
-  /// One watch until its end; false where the store failed.
+  boost::asio::awaitable<void> sleepRandomly(Milliseconds shortest, Milliseconds longest);
+  /// Runs one watch until it ends. Returns false if the store failed.
   boost::asio::awaitable<bool> watchOnce();
   const Endpoint& endpoint() const;
 
@@ -52,8 +52,8 @@
   StoreView view_;
   std::mt19937_64 random_;
   std::size_t failures_ = 0;
-  /// How far the store's changes were seen; 0 before the first read.
-  object_api::ResourceVersion seen_;
+  /// Resource version up to which changes of the store were seen; 0 before the first read.
+  object_api::ResourceVersion lastSeenVersion_;
 };
 
 }  // namespace calicodrift::config
--- a/src/config/text_patch.h
+++ b/src/config/text_patch.h
@@ -11,7 +11,7 @@
 
 namespace calicodrift::config {
 
-/// One step of a patch: bytes copied from the base, then bytes of its own.
+/// One step of a patch: bytes copied from the base, followed by literal bytes.
 struct PatchStep {
   std::uint32_t copyOffset = 0;
   std::uint32_t copyLength = 0;
@@ -23,7 +23,7 @@
   }
 };
 
-/// How to make one text out of another.
+/// Patch that turns a base text into a target text.
 struct TextPatch {
   std::vector<PatchStep> steps;
 
@@ -33,14 +33,17 @@
   }
 };
 
-/// Largest text that a patch may make; a broken one can't fill the memory.
+/// Maximum size in bytes of a text produced by a patch, so that a malformed patch cannot exhaust
+/// memory.
 inline constexpr std::size_t kMaxTextBytes = 8'388'608;
 
-/// A patch that makes `target` out of `base`; with an empty base it holds the whole text. Compares
-/// the members of the JSON text (cut after ',', '}' and line ends) in time linear in both lengths.
+/// Creates a patch from `base` to `target`; with an empty base it contains the full text. Compares
+/// the members of the JSON text (split after ',', '}' and line ends) in time linear in both
+/// lengths.
 TextPatch makePatch(std::string_view base, std::string_view target);
 
-/// Fails with kProtocolViolation where a step leaves the base or the result grows too large.
+/// Applies a patch. Fails with kProtocolViolation if a step exceeds the base or the result exceeds
+/// kMaxTextBytes.
 Result<std::string> applyPatch(std::string_view base, const TextPatch& patch);
 
 }  // namespace calicodrift::config
--- a/tests/config/cost_test.cc
+++ b/tests/config/cost_test.cc
@@ -7,8 +7,8 @@
 #include "peer/codec.h"
 #include "support/bundles.h"
 
-/// What configuration costs at the target's size. The bounds are far above the figures that are
-/// printed, so that they hold on a busy machine.
+/// Cost of configuration changes at the target fleet size. The bounds are far above the printed
+/// figures, so that they hold on a busy machine.
 namespace calicodrift::config {
 namespace {
 
--- a/tests/config/relay_test.cc
+++ b/tests/config/relay_test.cc
@@ -13,18 +13,18 @@
 constexpr Milliseconds kBound{7000};
 const NetworkFaults kLossy{0.05, 0.02, Milliseconds(1), Milliseconds(40)};
 
-/// 200 nodes in 9 zones that all have version 1 in force and vouch for it.
+/// 200 nodes in 9 zones that all have version 1 active and confirmed.
 struct RunningFleet : SimulatedFleet {
   RunningFleet() : SimulatedFleet(1, kNodes, kZones, kLossy) {
     submitVersion(1);
     BOOST_REQUIRE(runUntilInForce(1, Milliseconds(20'000)) < Milliseconds(20'000));
     network().run(Milliseconds(10'000));
-    BOOST_REQUIRE_EQUAL(countVouched(), kNodes);
+    BOOST_REQUIRE_EQUAL(countConfirmed(), kNodes);
   }
   ~RunningFleet() {
     BOOST_TEST(reverts == 0U);
     BOOST_TEST(unacceptedTexts == 0U);
-    BOOST_TEST(wrongVouches == 0U);
+    BOOST_TEST(staleConfirmations == 0U);
   }
   void submitVersion(std::uint64_t version) {
     submit(signers.sign(largeBundleText(version)), version);
@@ -58,12 +58,11 @@
   BOOST_TEST(slowest.count() < 3000);
   BOOST_TEST(bytes / kNodes / kChanges < 2000);
   BOOST_TEST(idlePerNodeSecond < 500);
-  // Changes every 3.6 s leave every node's confirmation within the term.
-  BOOST_TEST(countVouched() == kNodes);
+  // With changes every 3.6 s the confirmation of every node stays within the term.
+  BOOST_TEST(countConfirmed() == kNodes);
 }
 
-BOOST_FIXTURE_TEST_CASE(theDeathOfEveryWatcherDuringAChangeDelaysNobodyBeyondTheBound,
-                        RunningFleet) {
+BOOST_FIXTURE_TEST_CASE(failureOfAllWatchersDuringAChangeDelaysNoNodeBeyondTheBound, RunningFleet) {
   const std::vector<std::size_t> dying = watchers();
   BOOST_REQUIRE_EQUAL(dying.size(), kZones * SimulatedFleet::kWatchersPerZone);
   submitVersion(2);
@@ -75,10 +74,10 @@
   BOOST_TEST(took.count() < kBound.count());
   network().run(Milliseconds(10'000));
   BOOST_TEST(watchers().size() == kZones * SimulatedFleet::kWatchersPerZone);
-  BOOST_TEST(countVouched() == running());
+  BOOST_TEST(countConfirmed() == running());
 }
 
-BOOST_FIXTURE_TEST_CASE(zonesThatAreCutOffStopVouchingAndCatchUpWhenHealed, RunningFleet) {
+BOOST_FIXTURE_TEST_CASE(isolatedZonesBecomeUnconfirmedAndCatchUpWhenHealed, RunningFleet) {
   const std::vector<std::size_t> apart{0, 1, 2};
   cutZones(apart);
   for (const std::size_t zone : apart) {
@@ -88,17 +87,17 @@
   network().run(kTerm + Milliseconds(500));
   const std::size_t cutOff = kNodes - countInForce(2);
   BOOST_TEST(cutOff == 68U);
-  BOOST_TEST(countVouched() == kNodes - cutOff);
+  BOOST_TEST(countConfirmed() == kNodes - cutOff);
   network().healAll();
   healStore();
   const Milliseconds took = runUntilInForce(2, kBound);
   BOOST_TEST_MESSAGE("in force after the cut healed: " << took.count() << " ms");
   BOOST_TEST(took.count() < kBound.count());
   network().run(kTerm);
-  BOOST_TEST(countVouched() == kNodes);
+  BOOST_TEST(countConfirmed() == kNodes);
 }
 
-BOOST_FIXTURE_TEST_CASE(aHerdRestartWithTheStoreDownTakesTheNewestBundleFromTheSurvivor,
+BOOST_FIXTURE_TEST_CASE(aFleetRestartWithTheStoreDownTakesTheNewestBundleFromTheSurvivor,
                         RunningFleet) {
   submitVersion(2);
   runUntilInForce(2, kBound);
@@ -111,8 +110,8 @@
   BOOST_TEST_MESSAGE("in force after 199 of 200 restarted, store down: " << took.count() << " ms");
   BOOST_TEST(took.count() < kBound.count());
   network().run(kTerm + Milliseconds(5000));
-  BOOST_TEST(countVouched() == 0U);
-  // The honest limit: when nobody is left who holds a bundle, there is none.
+  BOOST_TEST(countConfirmed() == 0U);
+  // If no node that holds a bundle is left, no bundle can be recovered without the store.
   for (std::size_t index = 0; index < kNodes; ++index) {
     stop(index);
     start(index);
@@ -123,7 +122,7 @@
   BOOST_TEST(runUntilInForce(2, kBound).count() < kBound.count());
 }
 
-/// Knows one other node of its zone.
+/// Directory with one other node in the same zone.
 class PairDirectory : public peer::PeerDirectory {
  public:
   PairDirectory(const Endpoint& own, const Endpoint& other)
@@ -137,7 +136,7 @@
   peer::PeerInfo other_;
 };
 
-BOOST_AUTO_TEST_CASE(anAnswerThatCameLateConfirmsAsOfItsQuestionOnly) {
+BOOST_AUTO_TEST_CASE(aLateReplyConfirmsOnlyAsOfTheTimeOfItsQuery) {
   constexpr Milliseconds kOneWay{2000};
   SimulatedNetwork network(1);
   network.setFaults({0, 0, kOneWay, kOneWay});
@@ -147,11 +146,11 @@
   ConfigMetrics metrics(registry);
   BundleHolder holder(signers.rule(), [](const bundle::Bundle&) {});
   BOOST_REQUIRE(holder.adopt(signers.sign(largeBundleText(1, 1))).has_value());
-  Vouching vouching(SimulatedFleet::kTerm, holder);
+  FreshnessTracker freshness(SimulatedFleet::kTerm, holder);
   Roster roster(directory, 2);
   const auto transport = network.attach(directory.self().endpoint);
   const auto other = network.attach(directory.alivePeers().front().endpoint);
-  Relay relay({}, *transport, roster, holder, vouching, metrics, 1);
+  Relay relay({}, *transport, roster, holder, freshness, metrics, 1);
   transport->setReceiver(peer::Channel::kConfig,
                          [&](const Endpoint& from, std::string_view payload) {
                            relay.receive(from, payload, network.now());
@@ -166,11 +165,11 @@
   });
   relay.tick(network.now());
   network.run(kOneWay * 2);
-  BOOST_REQUIRE(vouching.age(network.now()).has_value());
-  BOOST_TEST(vouching.age(network.now())->count() == (kOneWay * 2).count());
+  BOOST_REQUIRE(freshness.age(network.now()).has_value());
+  BOOST_TEST(freshness.age(network.now())->count() == (kOneWay * 2).count());
 }
 
-/// A peer that offers a text under a version and digest of its own choice.
+/// A peer that offers a text under an arbitrary version and digest.
 class HostilePeer {
  public:
   HostilePeer(SimulatedFleet& fleet, BundleVersion claimed, bundle::SignedBundle offered)
@@ -214,22 +213,23 @@
   std::unique_ptr<peer::Transport> transport_;
 };
 
-/// A run of random changes, restarts, cuts, restored backups and hostile offers. Gives the number
-/// of violations.
+/// Runs random changes, restarts, partitions, restored backups and hostile offers. Returns the
+/// number of violations.
 std::uint64_t violationsOf(std::uint64_t seed) {
-  constexpr std::size_t kFew = 12;
-  constexpr std::size_t kFewTenants = 20;
-  SimulatedFleet fleet(seed, kFew, 3, NetworkFaults{0.1, 0.1, Milliseconds(1), Milliseconds(300)});
+  constexpr std::size_t kFleetSize = 12;
+  constexpr std::size_t kTenants = 20;
+  SimulatedFleet fleet(seed, kFleetSize, 3,
+                       NetworkFaults{0.1, 0.1, Milliseconds(1), Milliseconds(300)});
   std::vector<bundle::SignedBundle> accepted;
   const auto submitNext = [&] {
     const std::uint64_t version = accepted.size() + 1;
-    accepted.push_back(fleet.signers.sign(largeBundleText(version, kFewTenants)));
+    accepted.push_back(fleet.signers.sign(largeBundleText(version, kTenants)));
     fleet.submit(accepted.back(), version);
   };
   submitNext();
   std::mt19937_64 random(seed);
   for (int step = 0; step < 40; ++step) {
-    const std::size_t node = random() % kFew;
+    const std::size_t node = random() % kFleetSize;
     const std::size_t chosen = random() % accepted.size();
     bundle::SignedBundle offered = accepted[chosen];
     switch (random() % 8) {
@@ -257,7 +257,7 @@
         break;
       }
       default: {
-        offered.text = largeBundleText(accepted.size() + 1, kFewTenants);
+        offered.text = largeBundleText(accepted.size() + 1, kTenants);
         HostilePeer peer(fleet, BundleVersion(accepted.size() + 1), offered);
         peer.announceTo(fleet.endpointOf(node));
         fleet.network().run(Milliseconds(3000));
@@ -272,7 +272,7 @@
   return fleet.reverts + fleet.unacceptedTexts + (reached ? 0 : 1);
 }
 
-BOOST_AUTO_TEST_CASE(noScheduleMakesANodeRevertOrAdoptWhatWasNotAccepted) {
+BOOST_AUTO_TEST_CASE(noScheduleMakesANodeRevertOrAdoptAnUnacceptedBundle) {
   constexpr std::uint64_t kSchedules = 150;
   std::uint64_t violations = 0;
   for (std::uint64_t seed = 1; seed <= kSchedules; ++seed) {
--- a/tests/config/simulated_fleet.h
+++ b/tests/config/simulated_fleet.h
@@ -14,17 +14,17 @@
 
 using namespace config;  // NOLINT(google-build-using-namespace)
 
-/// Nodes with the real relay, vouching and store view over a simulated network, and a store that
-/// the nodes whose roster makes them watchers read once a second.
-/// Checked at each adoption: the version rises and the text was accepted by the store. Checked
-/// every 100 ms on every node: who vouches has every version in force that was accepted longer than
-/// the term ago.
+/// Nodes with the real relay, freshness tracker and store view over a simulated network, and a
+/// store that is read once a second by the nodes that are watchers according to their roster.
+/// Checks at each adoption that the version increases and that the text was accepted by the store.
+/// Checks every 100 ms that every confirmed node has all versions active that were accepted longer
+/// than the term ago.
 class SimulatedFleet {
  public:
   static constexpr Milliseconds kTerm{7000};
   static constexpr Milliseconds kTick{100};
   static constexpr Milliseconds kWatch{1000};
-  /// How long the membership takes to notice a death.
+  /// Time that the membership takes to detect a dead node.
   static constexpr Milliseconds kDetection{8000};
   static constexpr std::size_t kWatchersPerZone = 2;
 
@@ -50,13 +50,13 @@
       watchNow(index);
     }
   }
-  /// Puts an object into the store without its being accepted, as a restored backup does.
+  /// Writes an object to the store without marking it as accepted, as restoring a backup does.
   void setStore(const bundle::SignedBundle& signedBundle) {
     store_.spec = bundle::toJson(signedBundle);
     store_.version = object_api::ResourceVersion(store_.version.value() + 1);
   }
   void setStoreUp(bool up) { storeUp_ = up; }
-  /// A zone that can't reach the store.
+  /// Cuts a zone off from the store.
   void cutStore(std::size_t zone) { cutFromStore_.insert(zone); }
   void healStore() { cutFromStore_.clear(); }
 
@@ -72,13 +72,14 @@
   void start(std::size_t index) {
     Slot& slot = slots_[index];
     members_[slot.info.endpoint] = slot.info;
-    ++slot.life;
+    ++slot.incarnation;
     slot.node = std::make_unique<Node>(*this, slot.info);
-    const std::uint64_t life = slot.life;
+    const std::uint64_t incarnation = slot.incarnation;
     const auto phase = static_cast<std::int64_t>(network_.random()() % kTick.count());
-    network_.schedule(Milliseconds(phase), [this, index, life] { tick(index, life); });
+    network_.schedule(Milliseconds(phase),
+                      [this, index, incarnation] { tick(index, incarnation); });
     const Milliseconds watchPhase(500 + static_cast<std::int64_t>(network_.random()() % 1000));
-    network_.schedule(watchPhase, [this, index, life] { watch(index, life); });
+    network_.schedule(watchPhase, [this, index, incarnation] { watch(index, incarnation); });
   }
   void cutZones(const std::vector<std::size_t>& apart) {
     const auto isApart = [&](std::size_t index) {
@@ -93,7 +94,7 @@
     }
   }
 
-  /// Runs until every running node has `version` in force; the time it took, or `bound`.
+  /// Runs until every running node has `version` active. Returns the time it took, or `bound`.
   Milliseconds runUntilInForce(std::uint64_t version, Milliseconds bound) {
     const MonotonicTime begin = network_.now();
     while (network_.now() - begin < bound && countInForce(version) < running()) {
@@ -104,13 +105,13 @@
   std::size_t countInForce(std::uint64_t version) const {
     return count([version](const Node& node) { return node.holder.version().value() == version; });
   }
-  std::size_t countVouched() const {
-    return count([this](const Node& node) { return node.vouching.vouched(network_.now()); });
+  std::size_t countConfirmed() const {
+    return count([this](const Node& node) { return node.freshness.confirmed(network_.now()); });
   }
   std::size_t running() const {
     return count([](const Node&) { return true; });
   }
-  /// Running nodes that are watchers by their own belief.
+  /// Running nodes that consider themselves watchers.
   std::vector<std::size_t> watchers() const {
     std::vector<std::size_t> indexes;
     for (std::size_t index = 0; index < slots_.size(); ++index) {
@@ -120,18 +121,18 @@
     }
     return indexes;
   }
-  bool vouched(std::size_t index) const {
-    return slots_[index].node->vouching.vouched(network_.now());
+  bool confirmed(std::size_t index) const {
+    return slots_[index].node->freshness.confirmed(network_.now());
   }
   SimulatedNetwork& network() { return network_; }
   const Endpoint& endpointOf(std::size_t index) const { return slots_[index].info.endpoint; }
 
   Signers signers;
-  /// Violations of what is checked all the time.
+  /// Violations of the invariants that are checked continuously.
   std::uint64_t reverts = 0;
   std::uint64_t unacceptedTexts = 0;
-  std::uint64_t wrongVouches = 0;
-  /// Payload bytes and messages that the nodes sent.
+  std::uint64_t staleConfirmations = 0;
+  /// Payload bytes and messages sent by all nodes.
   std::uint64_t sentBytes = 0;
   std::uint64_t sentMessages = 0;
 
@@ -184,12 +185,12 @@
           metrics(registry),
           holder(fleet.signers.rule(),
                  [this, &fleet](const bundle::Bundle& adopted) {
-                   fleet.noteAdoption(*this, adopted);
+                   fleet.checkAdoption(*this, adopted);
                  }),
-          vouching(kTerm, holder),
+          freshness(kTerm, holder),
           roster(directory, kWatchersPerZone),
-          relay({}, transport, roster, holder, vouching, metrics, fleet.network_.random()()),
-          view(roster, holder, vouching, metrics,
+          relay({}, transport, roster, holder, freshness, metrics, fleet.network_.random()()),
+          view(roster, holder, freshness, metrics,
                [this, &fleet] { relay.announceIfNew(fleet.network_.now()); }) {
       transport.setReceiver(peer::Channel::kConfig,
                             [this, &fleet](const Endpoint& from, std::string_view payload) {
@@ -201,7 +202,7 @@
     prometheus::Registry registry;
     ConfigMetrics metrics;
     BundleHolder holder;
-    Vouching vouching;
+    FreshnessTracker freshness;
     Roster roster;
     Relay relay;
     StoreView view;
@@ -212,7 +213,7 @@
   struct Slot {
     peer::PeerInfo info;
     std::unique_ptr<Node> node;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
   };
 
   template <typename Condition>
@@ -224,27 +225,27 @@
     return total;
   }
 
-  void noteAdoption(Node& node, const bundle::Bundle& adopted) {
+  void checkAdoption(Node& node, const bundle::Bundle& adopted) {
     reverts += adopted.version.value() <= node.highest ? 1 : 0;
     node.highest = adopted.version.value();
     unacceptedTexts += acceptedTexts_.contains(node.holder.digest()) ? 0 : 1;
   }
 
-  void tick(std::size_t index, std::uint64_t life) {
+  void tick(std::size_t index, std::uint64_t incarnation) {
     Slot& slot = slots_[index];
-    if (!slot.node || slot.life != life) {
+    if (!slot.node || slot.incarnation != incarnation) {
       return;
     }
     slot.node->relay.tick(network_.now());
-    network_.schedule(kTick, [this, index, life] { tick(index, life); });
+    network_.schedule(kTick, [this, index, incarnation] { tick(index, incarnation); });
   }
 
-  void watch(std::size_t index, std::uint64_t life) {
-    if (!slots_[index].node || slots_[index].life != life) {
+  void watch(std::size_t index, std::uint64_t incarnation) {
+    if (!slots_[index].node || slots_[index].incarnation != incarnation) {
       return;
     }
     watchNow(index);
-    network_.schedule(kWatch, [this, index, life] { watch(index, life); });
+    network_.schedule(kWatch, [this, index, incarnation] { watch(index, incarnation); });
   }
 
   void watchNow(std::size_t index) {
@@ -257,9 +258,9 @@
     const BundleVersion versionThen = slot.node->holder.version();
     if (slot.node->seen != store_.version) {
       slot.node->seen = store_.version;
-      slot.node->view.takeObject(store_);
+      slot.node->view.handleObject(store_);
     }
-    slot.node->view.takeBookmark(network_.now(), versionThen);
+    slot.node->view.handleBookmark(network_.now(), versionThen);
   }
 
   void check() {
@@ -274,7 +275,7 @@
       }
       const BundleHolder& holder = slot.node->holder;
       const bool behind = holder.version().value() < required;
-      wrongVouches += behind && slot.node->vouching.vouched(network_.now()) ? 1 : 0;
+      staleConfirmations += behind && slot.node->freshness.confirmed(network_.now()) ? 1 : 0;
     }
     network_.schedule(kTick, [this] { check(); });
   }
@@ -287,7 +288,7 @@
   bool storeUp_ = true;
   std::set<std::size_t> cutFromStore_;
   std::set<BundleDigest> acceptedTexts_;
-  /// When each version was accepted.
+  /// Time at which each version was accepted.
   std::map<std::uint64_t, MonotonicTime> accepted_;
 };
 
--- a/tests/config/text_patch_test.cc
+++ b/tests/config/text_patch_test.cc
@@ -17,7 +17,7 @@
   return text;
 }
 
-BOOST_AUTO_TEST_CASE(aPatchAlwaysMakesItsTarget) {
+BOOST_AUTO_TEST_CASE(aPatchAlwaysProducesItsTarget) {
   std::mt19937_64 random(1);
   for (int round = 0; round < 500; ++round) {
     const std::string base = randomText(random);
@@ -27,7 +27,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(aPatchThatDoesNotFitIsRefused) {
+BOOST_AUTO_TEST_CASE(anInvalidPatchIsRejected) {
   BOOST_TEST(!applyPatch("short", TextPatch{{{0, 6, ""}}}).has_value());
   BOOST_TEST(!applyPatch("short", TextPatch{{{6, 0, "x"}}}).has_value());
   const std::string large(kMaxTextBytes, 'x');
