--- a/tests/quota/quota_fleet_test.cc
+++ b/tests/quota/quota_fleet_test.cc
@@ -7,7 +7,8 @@
 namespace calicodrift::quota {
 namespace {
 
-/// Units of one request, distributed like the prompts of reviews with a median of about 7,000.
+/// Units of one request, distributed like the prompts of reviews, which average about 9,000. The
+/// distribution used here has a median of 7,000 and a mean of about 8,400.
 double drawUnits(std::mt19937_64& random) {
   std::lognormal_distribution<double> any(std::log(7000.0), 0.6);
   return std::clamp(std::round(any(random)), 200.0, 57'000.0);
