--- a/src/fleet/server_pool.cc
+++ b/src/fleet/server_pool.cc
@@ -347,7 +347,7 @@
   const auto memory = memoryTokens_.find(entry.server.service);
   candidate.memoryTokens = memory == memoryTokens_.end() ? 0 : memory->second;
   const auto pause = pauseBounds_.find(entry.server.service);
-  candidate.pauseBoundMs = pause == pauseBounds_.end() ? 0 : toMilliseconds(pause->second);
+  candidate.maxStreamPauseMs = pause == pauseBounds_.end() ? 0 : toMilliseconds(pause->second);
   candidate.peerRequests = entry.peers.requests;
   candidate.peerTokens = entry.peers.tokens;
   candidate.peerPrefillTokens = entry.peers.prefillTokens;
@@ -368,7 +368,7 @@
     CandidateSets& sets = sets_[key];
     (fallback ? sets.preferred : sets.fallback).erase(entry.server.id);
     routing::Candidate candidate = toCandidate(entry);
-    candidate.wayMs = distance.rttMs;
+    candidate.rttMs = distance.rttMs;
     candidate.nearby = distance.nearby;
     for (const LoadedModel& loaded : entry.server.models) {
       if (loaded.model == key.model) {
--- a/src/forward/cache_moves.cc
+++ b/src/forward/cache_moves.cc
@@ -54,7 +54,7 @@
   }
 }
 
-void CacheMoves::learnSaved(const std::vector<fleet::SavedPart>& saves, MonotonicTime now) {
+void CacheMoves::applyPeerSaves(const std::vector<fleet::SavedPart>& saves, MonotonicTime now) {
   for (const fleet::SavedPart& saved : saves) {
     const auto lost = storeLostAt_.find(saved.store);
     if (lost == storeLostAt_.end() || now - lost->second >= settings_.distrustPeriod) {
--- a/src/forward/cache_moves.h
+++ b/src/forward/cache_moves.h
@@ -74,7 +74,7 @@
   /// common prefix.
   void onSaved(std::uint64_t sharedKey, const Endpoint& store, MonotonicTime now);
   /// Records saves of other nodes' requests that were completed a short time ago.
-  void learnSaved(const std::vector<fleet::SavedPart>& saves, MonotonicTime now);
+  void applyPeerSaves(const std::vector<fleet::SavedPart>& saves, MonotonicTime now);
   /// Returns and clears the saves of this node's requests since the last call.
   std::vector<fleet::SavedPart> takeSaves() { return std::exchange(unreportedSaves_, {}); }
   /// Forgets the saves of a store that may have restarted empty: it then keeps the first version it
--- a/src/forward/crash_check.cc
+++ b/src/forward/crash_check.cc
@@ -43,11 +43,11 @@
   options.bodyTimeout = kAnswerTimeout;
   http::Request query = protocol_.reportQuery(server);
   const Result<http::Response> answer =
-      co_await calls_.exchange(server, std::move(query), options, CallPurpose::kQuestion);
+      co_await calls_.exchange(server, std::move(query), options, CallPurpose::kQuery);
   if (!answer) {
     co_return answer.error().reason == http::kConnectionRefused;
   }
-  if (protocol_.namesAnother(server, answer.value()) ||
+  if (protocol_.namesOtherServer(server, answer.value()) ||
       answer.value().status == http::kStatusMisdirected) {
     co_return true;
   }
--- a/src/forward/forward_settings.h
+++ b/src/forward/forward_settings.h
@@ -18,18 +18,18 @@
   Milliseconds unacknowledgedTimeout{1000};
   /// An idempotent request fails over if no part of its answer has arrived within this multiple of
   /// its target latency.
-  double patienceTargets = 3.5;
+  double failoverTargets = 3.5;
   /// Longest pause between two events of a stream that another server can resume.
   Milliseconds eventTimeout{1500};
   /// A server that refused a request receives none for this long.
   Milliseconds refusalPause{250};
   /// The same if newer weights than the server's were named, because it may be loading them; it is
   /// used again as soon as it reports them.
-  Milliseconds loadPause{1000};
+  Milliseconds weightsLoadPause{1000};
   /// Value of Retry-After for refused callers.
   Milliseconds retryAfter{300};
   /// No request begins on outdated weights later than this after newer ones were named.
-  Milliseconds weightsBound{8000};
+  Milliseconds outdatedStartBound{8000};
   /// Retry budget: retries earned per request, earned per second by an idle node, and the burst of
   /// the latter.
   double retryFraction = 0.15;
@@ -38,11 +38,11 @@
   /// Whether a failed request may go to another server at all.
   bool retries = true;
   /// Whether a request fails over from a server that exceeds its patience.
-  bool movesOn = true;
+  bool failoverOnSilence = true;
   /// Whether requests that no server can begin in time are refused.
-  bool admit = true;
+  bool queueAdmission = true;
   /// Whether the prefill rates of servers are learnt.
-  bool learnRates = true;
+  bool learnPrefillRates = true;
   CacheMoveSettings cacheMoves;
   QueueAdmissionSettings admission;
 };
--- a/src/forward/forwarder.h
+++ b/src/forward/forwarder.h
@@ -44,7 +44,7 @@
   /// Empty if no weights were named.
   std::optional<WeightsVersion> newest = std::nullopt;
   /// Source of the knowledge about newer weights, for logs; empty if there are none.
-  std::string_view knownBy = {};
+  std::string_view source = {};
 };
 
 /// Dependencies of the data path. All of them outlive the forwarder and run on its thread.
@@ -68,7 +68,7 @@
   /// Enforces the request limits that servers announce.
   server_limits::ServerLimitNode& serverLimits;
   /// Removes outdated weights from the pool when their grace period ends.
-  std::function<void()> endWeightsTerms;
+  std::function<void()> removeExpiredWeights;
   /// Hooks for orders that move a service to another version.
   RolloutHooks rollouts{};
 };
@@ -178,8 +178,8 @@
   bool hasUntriedServer(const Job& job);
   /// Whether the job is retried on another server; if so, consumes from the retry budget.
   bool takeRetry(Job& job, ErrorKind failure);
-  /// @param roundTripMs round-trip time to the server, in milliseconds.
-  AttemptBounds boundsOf(const Job& job, double roundTripMs) const;
+  /// @param rttMs round-trip time to the server, in milliseconds.
+  AttemptBounds boundsOf(const Job& job, double rttMs) const;
   boost::asio::awaitable<void> answerError(Job& job, Error error);
   routing::Policy& policyFor(const Job& job);
   limits::RetryBudget& retryBudgetOf(const std::string& service);
--- a/src/forward/forwarder_choice.cc
+++ b/src/forward/forwarder_choice.cc
@@ -147,10 +147,10 @@
 Result<void> Forwarder::admit(const Job& job, const routing::Candidate& candidate, Track track,
                               MonotonicTime now) {
   // A retried request is not refused: it has already waited, and its retry is in the budget.
-  if (!settings_.admit || job.request.model.value().empty() || job.attempts.sent > 0) {
+  if (!settings_.queueAdmission || job.request.model.value().empty() || job.attempts.sent > 0) {
     return boost::outcome_v2::success();
   }
-  const double waitMs = routing::expectedWaitMs(candidate) + candidate.wayMs;
+  const double waitMs = routing::expectedWaitMs(candidate) + candidate.rttMs;
   const Milliseconds wait(static_cast<std::int64_t>(waitMs));
   const auto known = admissions_.try_emplace({job.service, track}, settings_.admission).first;
   const std::optional<Milliseconds> retryAfter =
--- a/src/forward/forwarder_dispatch.cc
+++ b/src/forward/forwarder_dispatch.cc
@@ -69,7 +69,7 @@
 }  // namespace
 
 awaitable<Result<void>> Forwarder::dispatchOnce(Job& job) {
-  context_.endWeightsTerms();
+  context_.removeExpiredWeights();
   if (!knowsWeights(job)) {
     co_return fail(ErrorKind::kNoConfiguration, "the named weights have not been read yet");
   }
@@ -96,7 +96,7 @@
   const WeightsView weights = context_.weights(job.request.model, chosen.candidate.weights);
   logDispatched({job.request, job.grant, dispatch, chosen.candidate, chosen.reason,
                  chosen.candidates, job.attempts.sent, chosen.waitingTokens(), sharedKey,
-                 ageOf(weights.outdatedSince, now), weights.knownBy,
+                 ageOf(weights.outdatedSince, now), weights.source,
                  std::chrono::floor<Milliseconds>(now - startedAt_),
                  ageOf(context_.pool.peerLoadsAt(), now), chosen.atLimitCount,
                  context_.pool.restingOf(job.service, job.request.model, now).count});
@@ -130,7 +130,7 @@
                                               const ChosenServer& chosen, fleet::LoadGuard& load) {
   const MonotonicTime sent = monotonicNow();
   const std::size_t waitingTokens = chosen.waitingTokens();
-  const double roundTripMs = context_.pool.wayMsTo(dispatch.server, sent);
+  const double rttMs = context_.pool.wayMsTo(dispatch.server, sent);
   std::optional<double> startMs;
   const bool counts = job.attempts.sent == 1 || chosen.track == fleet::Track::kCandidate;
   if (context_.rollouts.onSent && chosen.order != service_rollout::OrderKey() && counts) {
@@ -145,17 +145,18 @@
     waiting.emplace(waiting_, job.request.model, *dispatch.weights,
                     [attempt] { attempt->recall(); });
   }
-  attempt->onFirstBytes([this, &job, &load, &dispatch, &waiting, &startMs, waitingTokens, sent,
-                         roundTripMs] {
-    waiting.reset();
-    startMs = toMilliseconds(monotonicNow() - sent);
-    load.endPrefill();
-    recordStart(job, dispatch);
-    if (settings_.learnRates && dispatch.weights && context_.pool.isCurrent(dispatch.server)) {
-      context_.pool.observeFirstToken(dispatch.server.id, waitingTokens, *startMs - roundTripMs);
-    }
-  });
-  const AttemptBounds bounds = boundsOf(job, roundTripMs);
+  attempt->onFirstBytes(
+      [this, &job, &load, &dispatch, &waiting, &startMs, waitingTokens, sent, rttMs] {
+        waiting.reset();
+        startMs = toMilliseconds(monotonicNow() - sent);
+        load.endPrefill();
+        recordStart(job, dispatch);
+        if (settings_.learnPrefillRates && dispatch.weights &&
+            context_.pool.isCurrent(dispatch.server)) {
+          context_.pool.observeFirstToken(dispatch.server.id, waitingTokens, *startMs - rttMs);
+        }
+      });
+  const AttemptBounds bounds = boundsOf(job, rttMs);
   const FailureUse failureUse = job.mayFailOver() ? FailureUse::kKeep : FailureUse::kDeliver;
   Result<void> outcome =
       co_await attempt->run(job.request, dispatch, bounds, job.streaming(), failureUse);
@@ -263,7 +264,7 @@
   }
   job.outdatedAtStart = outdatedFor(job, *dispatch.weights, monotonicNow());
   if (job.outdatedAtStart) {
-    context_.metrics.countOutdatedStart(*job.outdatedAtStart > settings_.weightsBound);
+    context_.metrics.countOutdatedStart(*job.outdatedAtStart > settings_.outdatedStartBound);
   }
 }
 
@@ -390,15 +391,15 @@
         return loaded.model == job.request.model &&
                context_.weights(loaded.model, loaded.weights).outdatedSince.has_value();
       });
-  return outdated ? settings_.loadPause : settings_.refusalPause;
+  return outdated ? settings_.weightsLoadPause : settings_.refusalPause;
 }
 
-AttemptBounds Forwarder::boundsOf(const Job& job, double roundTripMs) const {
+AttemptBounds Forwarder::boundsOf(const Job& job, double rttMs) const {
   const Milliseconds left = remainingTime(job.end);
   /// A connection takes one round trip, and an acknowledgement another; the rest allows for a slow
   /// process or a lost packet.
   constexpr double kConnectRoundTrips = 4;
-  const Milliseconds fromRoundTrip(static_cast<std::int64_t>(kConnectRoundTrips * roundTripMs));
+  const Milliseconds fromRoundTrip(static_cast<std::int64_t>(kConnectRoundTrips * rttMs));
   AttemptBounds bounds;
   bounds.connectTimeout = std::min(std::max(settings_.connectTimeout, fromRoundTrip), left);
   bounds.unacknowledgedTimeout = settings_.unacknowledgedTimeout;
@@ -408,9 +409,9 @@
   bounds.headTimeout = left;
   bounds.firstEventTimeout = left;
   bounds.eventTimeout = left;
-  if (settings_.movesOn && job.mayFailOver()) {
+  if (settings_.failoverOnSilence && job.mayFailOver()) {
     const Milliseconds patience(static_cast<std::int64_t>(
-        settings_.patienceTargets * static_cast<double>(job.grant.route->targetLatency.count())));
+        settings_.failoverTargets * static_cast<double>(job.grant.route->targetLatency.count())));
     bounds.headTimeout = std::min(left, patience);
     bounds.firstEventTimeout = bounds.headTimeout;
     bounds.eventTimeout = std::min(left, settings_.eventTimeout);
--- a/src/forward/protocol.h
+++ b/src/forward/protocol.h
@@ -49,7 +49,7 @@
   /// expected.
   kAnotherServer,
   /// Not an answer to this request, or without proof of integrity: the request may have run.
-  kUnproven,
+  kUnverified,
 };
 
 /// State of a model server, from its own report.
@@ -77,8 +77,8 @@
 };
 
 enum class OrderOutcome {
-  kTaken,
-  kAlreadyHolds,
+  kAccepted,
+  kAlreadyLoaded,
   /// Another order is in progress, or the count of orders differs.
   kConflict,
   /// A higher fencing token was seen.
@@ -111,9 +111,9 @@
   /// Whether the head comes from this server, so that its notices apply to it. A head does not if
   /// it answers for another run or server, or if it refuses the request as misdirected without
   /// naming its sender.
-  virtual bool speaksFor(const fleet::Server& server, const http::Response& head) const = 0;
+  virtual bool isFromServer(const fleet::Server& server, const http::Response& head) const = 0;
   /// Whether the answer's head names another server than this one. A head that names none does not.
-  virtual bool namesAnother(const fleet::Server& server, const http::Response& head) const = 0;
+  virtual bool namesOtherServer(const fleet::Server& server, const http::Response& head) const = 0;
   virtual http::Request healthQuery(const routes::Service& service) const = 0;
   virtual bool isHealthy(const fleet::Server& server, const http::Response& answer) const = 0;
   virtual http::Request reportQuery(const fleet::Server& server) const = 0;
--- a/src/forward/request.h
+++ b/src/forward/request.h
@@ -38,7 +38,7 @@
   ModelId model;
   std::vector<PromptPart> prompt;
   /// Whether the request states its token counts.
-  bool statesTokens = false;
+  bool hasTokenCounts = false;
   std::size_t promptTokens = 0;
   std::size_t outputTokens = 0;
   /// Last event of the stream that the caller already has, if it resumes one.
--- a/src/forward/request_log.cc
+++ b/src/forward/request_log.cc
@@ -35,7 +35,7 @@
        {"attempt", std::to_string(facts.attempt)},
        {"waiting_tokens", std::to_string(facts.waitingTokens)},
        {"expected_wait_ms", std::to_string(std::lround(routing::expectedWaitMs(facts.candidate)))},
-       {"way_ms", std::to_string(std::lround(facts.candidate.wayMs))},
+       {"way_ms", std::to_string(std::lround(facts.candidate.rttMs))},
        {"outdated_ms", textOf(facts.outdatedFor)},
        {"outdated_by", std::string(facts.outdatedBy)},
        {"up_ms", std::to_string(facts.upFor.count())},
--- a/src/forward/server_attempt.cc
+++ b/src/forward/server_attempt.cc
@@ -51,7 +51,7 @@
   const AnswerKind kind = protocol_.classify(request, stream.head());
   answered_ = kind == AnswerKind::kAnswered;
   weights_ = protocol_.weightsOf(stream.head());
-  fromOtherServer_ = protocol_.namesAnother(dispatch.server, stream.head());
+  fromOtherServer_ = protocol_.namesOtherServer(dispatch.server, stream.head());
   if (kind == AnswerKind::kNotRun || kind == AnswerKind::kAnotherServer) {
     // Drains the body, so that the connection can be reused.
     const Result<std::string> rest = co_await stream.read();
@@ -61,7 +61,7 @@
     }
     co_return notRunError(kind, dispatch.server, status_);
   }
-  if (kind == AnswerKind::kUnproven) {
+  if (kind == AnswerKind::kUnverified) {
     co_return fail(ErrorKind::kProtocolViolation, "server '" + dispatch.server.id.value() +
                                                       "' gave no valid answer to the request");
   }
--- a/src/forward/server_calls.cc
+++ b/src/forward/server_calls.cc
@@ -59,7 +59,7 @@
   if (const auto until = context_.pool.rests().excludedUntil(server.id, monotonicNow())) {
     return withdrawnError(server, "has asked for a rest");
   }
-  if (purpose == CallPurpose::kQuestion) {
+  if (purpose == CallPurpose::kQuery) {
     return boost::outcome_v2::success();
   }
   const fleet::Server* listed = context_.pool.find(server.id);
@@ -79,7 +79,7 @@
 
 void ServerCalls::processHead(const fleet::Server& server, const SendState& sent,
                               const http::Response& head) {
-  if (!context_.protocol.speaksFor(server, head)) {
+  if (!context_.protocol.isFromServer(server, head)) {
     return;
   }
   const ServerNotices notices = context_.protocol.noticesOf(head);
--- a/src/forward/server_calls.h
+++ b/src/forward/server_calls.h
@@ -23,7 +23,7 @@
   /// An order to load weights.
   kOrder,
   /// A health check or report query, which is also sent to a server that is leaving.
-  kQuestion,
+  kQuery,
 };
 
 /// Dependencies of ServerCalls. All of them outlive it and run on its thread.
--- a/src/forward/tenant_limit.cc
+++ b/src/forward/tenant_limit.cc
@@ -12,8 +12,8 @@
   if (tenant->limit->unit == routes::LimitUnit::kRequests) {
     return 1;
   }
-  return request.statesTokens ? static_cast<double>(request.promptTokens + request.outputTokens)
-                              : tenant->limit->unstatedTokens;
+  return request.hasTokenCounts ? static_cast<double>(request.promptTokens + request.outputTokens)
+                                : tenant->limit->defaultTokens;
 }
 
 }  // namespace
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -127,7 +127,7 @@
              return views_.weights(model, version);
            },
            [this](std::uint64_t key) { return cacheStores_.storeFor(key); }, quota_, quarantine_,
-           serverLimits_, [this] { views_.endWeightsTerms(); }, serviceRollouts_.hooks()},
+           serverLimits_, [this] { views_.removeExpiredWeights(); }, serviceRollouts_.hooks()},
           forwardSettings(settings_), {settings_.keyProofAge, settings_.absenceProofAge},
           hashBytes(settings_.nodeId)),
       lease_(context.get_executor(), leaseStore_, std::string(kWeightsLease),
@@ -195,7 +195,7 @@
       },
       [this] { return forwarder_.cacheMoves().takeSaves(); },
       [this](const std::vector<fleet::SavedPart>& saves) {
-        forwarder_.cacheMoves().learnSaved(saves, monotonicNow());
+        forwarder_.cacheMoves().applyPeerSaves(saves, monotonicNow());
       },
       [this] { return targets_.known(monotonicNow()); },
       [this](const std::vector<fleet::NamedWeights>& named) {
@@ -278,7 +278,7 @@
 }
 
 awaitable<bool> GatewayNode::mayProbe(fleet::Server server) {
-  if (!serverCalls_.mayBegin(server, forward::CallPurpose::kQuestion)) {
+  if (!serverCalls_.mayBegin(server, forward::CallPurpose::kQuery)) {
     co_return false;
   }
   const server_limits::UnitVerdict unit = co_await serverLimits_.take(std::move(server));
@@ -342,7 +342,7 @@
     if (service.engine) {
       pool_.setMemory(service.name, service.engine->cacheTokens, monotonicNow());
       if (settings_.mechanisms.pauseBounds) {
-        pool_.setPauseBound(service.name, table.pauseBoundOf(service.name), monotonicNow());
+        pool_.setPauseBound(service.name, table.maxStreamPauseOf(service.name), monotonicNow());
       }
     }
   }
--- a/src/gateway/module_settings.cc
+++ b/src/gateway/module_settings.cc
@@ -27,16 +27,16 @@
   const Mechanisms& mechanisms = settings.mechanisms;
   if (!mechanisms.refusalPause) {
     forward.refusalPause = Milliseconds(0);
-    forward.loadPause = Milliseconds(0);
+    forward.weightsLoadPause = Milliseconds(0);
   }
   forward.cacheMoves.moves = mechanisms.cacheMoves;
   forward.cacheMoves.saves = mechanisms.cacheSaves;
-  forward.admit = mechanisms.queueAdmission;
-  forward.learnRates = mechanisms.learntRates;
-  forward.movesOn = mechanisms.patience;
+  forward.queueAdmission = mechanisms.queueAdmission;
+  forward.learnPrefillRates = mechanisms.learntRates;
+  forward.failoverOnSilence = mechanisms.patience;
   forward.retries = mechanisms.retries;
   forward.retryAfter = settings.retryAfter;
-  forward.weightsBound = settings.weightsBound;
+  forward.outdatedStartBound = settings.weightsBound;
   forward.retryFraction = static_cast<double>(settings.retryPercent) / kPercent;
   forward.retryFloorBurst = static_cast<double>(settings.retryFloor);
   forward.retryFloorPerSecond = forward.retryFloorBurst / kFloorWindowSeconds;
--- a/src/gateway/server_prober.cc
+++ b/src/gateway/server_prober.cc
@@ -14,7 +14,7 @@
 constexpr Milliseconds kProbeTimeout{350};
 /// A probe takes two ways to the server and back, one for the connection; twice that is for a slow
 /// server.
-constexpr double kProbeWays = 4;
+constexpr double kProbeRoundTrips = 4;
 
 }  // namespace
 
@@ -64,15 +64,15 @@
   }
   http::Request query = protocol_.healthQuery(*service);
   http::ExchangeOptions options;
-  const double wayMs = pool_.wayMsTo(server, monotonicNow());
+  const double rttMs = pool_.wayMsTo(server, monotonicNow());
   const Milliseconds timeout =
-      std::max(kProbeTimeout, Milliseconds(static_cast<std::int64_t>(kProbeWays * wayMs)));
+      std::max(kProbeTimeout, Milliseconds(static_cast<std::int64_t>(kProbeRoundTrips * rttMs)));
   options.connectTimeout = timeout;
   options.headerTimeout = timeout;
   options.bodyTimeout = timeout;
   Result<http::Response> answer =
-      co_await calls_.exchange(server, std::move(query), options, forward::CallPurpose::kQuestion);
-  if (answer && protocol_.namesAnother(server, answer.value())) {
+      co_await calls_.exchange(server, std::move(query), options, forward::CallPurpose::kQuery);
+  if (answer && protocol_.namesOtherServer(server, answer.value())) {
     co_return fail(ErrorKind::kFenced, "another server answers at the address");
   }
   co_return answer;
--- a/src/gateway/store_views.cc
+++ b/src/gateway/store_views.cc
@@ -234,12 +234,12 @@
   view.provenAt = weightsWatcher_.provenAt();
   view.newest = targets_.newest(model);
   if (const auto source = targets_.successorSource(model, version)) {
-    view.knownBy = weights::toString(*source);
+    view.source = weights::toString(*source);
   }
   return view;
 }
 
-void StoreViews::endWeightsTerms() {
+void StoreViews::removeExpiredWeights() {
   if (nextTermEnd_ && monotonicNow() >= *nextTermEnd_) {
     refreshLeastWeights();
   }
--- a/src/gateway/store_views.h
+++ b/src/gateway/store_views.h
@@ -53,7 +53,7 @@
   void onNamingsLearnt() { refreshLeastWeights(); }
   /// Takes versions whose term has ended out of use; called before a choice, as the timer of a busy
   /// node is late.
-  void endWeightsTerms();
+  void removeExpiredWeights();
   /// Whether the list of servers and the named weights were read: before that nothing is known of
   /// which servers may get requests.
   bool synchronized() const {
--- a/src/replay/simulation.cc
+++ b/src/replay/simulation.cc
@@ -158,7 +158,7 @@
   job.decider = job.router;
   if (settings_.index == IndexPlacement::kSharded) {
     job.decider = ownerOf(job.route.blocks);
-    job.route.decidedHereOnly = true;
+    job.route.decidedOnlyByThisRouter = true;
     for (const BlockHash block : job.route.blocks) {
       owners_[block] = job.decider;
     }
--- a/src/routes/route_table.cc
+++ b/src/routes/route_table.cc
@@ -45,15 +45,15 @@
   return found == servicesByName_.end() ? nullptr : found->second;
 }
 
-Milliseconds RouteTable::pauseBoundOf(std::string_view service) const {
+Milliseconds RouteTable::maxStreamPauseOf(std::string_view service) const {
   Milliseconds shortest{0};
   for (const Route& route : content_.routes) {
     const bool routesToService =
         std::any_of(route.services.begin(), route.services.end(),
                     [service](const WeightedService& part) { return part.service == service; });
-    if (routesToService && route.longestPause > Milliseconds(0)) {
-      shortest =
-          shortest == Milliseconds(0) ? route.longestPause : std::min(shortest, route.longestPause);
+    if (routesToService && route.maxEventPause > Milliseconds(0)) {
+      shortest = shortest == Milliseconds(0) ? route.maxEventPause
+                                             : std::min(shortest, route.maxEventPause);
     }
   }
   return shortest;
--- a/src/routes/route_table.h
+++ b/src/routes/route_table.h
@@ -44,7 +44,7 @@
   /// Target time for an answer, or for the first event of a stream.
   Milliseconds targetLatency{0};
   /// Longest pause between two events for a stream to count as timely; 0 if there is no bound.
-  Milliseconds longestPause{0};
+  Milliseconds maxEventPause{0};
   /// 0 is the most urgent.
   unsigned priority = 0;
   /// Contains at least one service.
@@ -94,7 +94,7 @@
   /// Units allowed at once in addition to the rate.
   double burst = 0;
   /// Tokens charged for a request that doesn't state its token counts.
-  double unstatedTokens = 0;
+  double defaultTokens = 0;
 };
 
 struct Tenant {
@@ -145,7 +145,7 @@
   /// Returns all cache stores.
   std::vector<const CacheStore*> cacheStores() const;
   /// Returns the shortest allowed pause of streams on the service's routes; 0 if there is no bound.
-  Milliseconds pauseBoundOf(std::string_view service) const;
+  Milliseconds maxStreamPauseOf(std::string_view service) const;
   std::size_t routeCount() const { return content_.routes.size(); }
 
  private:
--- a/src/routing/candidate_set.h
+++ b/src/routing/candidate_set.h
@@ -38,11 +38,11 @@
   std::size_t slots = 0;
   std::size_t memoryTokens = 0;
   /// Longest allowed pause of the streams that run there, in milliseconds; 0 if there is no bound.
-  double pauseBoundMs = 0;
+  double maxStreamPauseMs = 0;
   /// Prefill rate in prompt tokens per millisecond.
   double prefillTokensPerMs = kDefaultPrefillTokensPerMs;
   /// Network round-trip time in milliseconds.
-  double wayMs = 0;
+  double rttMs = 0;
   /// Whether the back end is in the router's own region.
   bool nearby = true;
 
--- a/src/routing/cost.cc
+++ b/src/routing/cost.cc
@@ -59,12 +59,12 @@
   /// Engines are slightly slower than the learnt rate while many requests run, and nodes learn of
   /// each other's prompts late.
   constexpr double kBoundFraction = 0.7;
-  if (candidate.pauseBoundMs <= 0) {
+  if (candidate.maxStreamPauseMs <= 0) {
     return 0;
   }
   const auto tokens = static_cast<double>(prefillTokensAt(candidate) + uncached);
   const bool pauses =
-      tokens / candidate.prefillTokensPerMs > kBoundFraction * candidate.pauseBoundMs;
+      tokens / candidate.prefillTokensPerMs > kBoundFraction * candidate.maxStreamPauseMs;
   return pauses ? kMsPerStream * static_cast<double>(requestsAt(candidate)) : 0;
 }
 
--- a/src/routing/least_outstanding.cc
+++ b/src/routing/least_outstanding.cc
@@ -14,7 +14,7 @@
 std::size_t cheapest(const CandidateSet& candidates, const std::vector<std::size_t>& positions) {
   const auto cost = [&candidates](std::size_t position) {
     const Candidate& candidate = candidates[position];
-    return std::tuple(candidate.wayMs + slotWaitMs(candidate), !candidate.nearby);
+    return std::tuple(candidate.rttMs + slotWaitMs(candidate), !candidate.nearby);
   };
   return *std::min_element(
       positions.begin(), positions.end(),
@@ -30,7 +30,7 @@
   }
   const Candidate& best = candidates[cheapest(candidates, positions)];
   std::erase_if(positions, [&](std::size_t position) {
-    return best.nearby ? !candidates[position].nearby : candidates[position].wayMs > best.wayMs;
+    return best.nearby ? !candidates[position].nearby : candidates[position].rttMs > best.rttMs;
   });
   return positions;
 }
--- a/src/routing/nested_prefix_affinity.cc
+++ b/src/routing/nested_prefix_affinity.cc
@@ -96,7 +96,7 @@
     MonotonicTime now) const {
   HolderSummary summary;
   const bool eventsArrive = lastEvents_ && now - *lastEvents_ < kEventTimeout;
-  summary.seesAllDispatches = request.decidedHereOnly || eventsArrive;
+  summary.seesAllDispatches = request.decidedOnlyByThisRouter || eventsArrive;
   for (const PrefixHolder& holder : holders) {
     summary.mostCachedBlocks = std::max(summary.mostCachedBlocks, holder.cachedBlocks);
   }
--- a/src/routing/policy.h
+++ b/src/routing/policy.h
@@ -38,7 +38,7 @@
   std::size_t sharedTokens = 0;
   /// Whether this router decides all requests that share the prompt's first blocks, so that it
   /// knows all dispatches. Otherwise other routers' dispatches are known from cache events only.
-  bool decidedHereOnly = false;
+  bool decidedOnlyByThisRouter = false;
 
   static constexpr std::size_t kDefaultBlockTokens = 512;
 };
--- a/src/routing/prefix_home.cc
+++ b/src/routing/prefix_home.cc
@@ -42,7 +42,7 @@
   }
   const std::size_t fleetHome = candidates.inAffinityOrder(keyOf(request), 1).front();
   const Candidate& candidate = candidates[fleetHome];
-  return sharedPrefillMs(request, candidate) > candidate.wayMs ? fleetHome : nearest;
+  return sharedPrefillMs(request, candidate) > candidate.rttMs ? fleetHome : nearest;
 }
 
 }  // namespace
@@ -59,7 +59,7 @@
     const Candidate& candidate = candidates[position];
     const double sharedMs = sharedPrefillMs(request, candidate);
     const double leaveMs = position == home ? 0 : kLeaveHomeMs + kTransferCostRatio * sharedMs;
-    const double ms = candidate.wayMs + queueDelayMs(candidate) +
+    const double ms = candidate.rttMs + queueDelayMs(candidate) +
                       admissionDelayMs(request, candidate) + leaveMs +
                       streamPauseMs(candidate, uncachedTokens(request, shared));
     if (ms < bestMs) {
--- a/src/weights/weights_loader.cc
+++ b/src/weights/weights_loader.cc
@@ -35,9 +35,9 @@
 
 std::string_view nameOf(forward::OrderOutcome outcome) {
   switch (outcome) {
-    case forward::OrderOutcome::kTaken:
+    case forward::OrderOutcome::kAccepted:
       return "taken";
-    case forward::OrderOutcome::kAlreadyHolds:
+    case forward::OrderOutcome::kAlreadyLoaded:
       return "already_holds";
     case forward::OrderOutcome::kConflict:
       return "conflict";
@@ -53,7 +53,7 @@
 
 OrderAnswer answerOf(forward::OrderOutcome outcome) {
   switch (outcome) {
-    case forward::OrderOutcome::kTaken:
+    case forward::OrderOutcome::kAccepted:
       return OrderAnswer::kAccepted;
     case forward::OrderOutcome::kConflict:
       return OrderAnswer::kConflict;
@@ -304,7 +304,7 @@
   const MonotonicTime requestedAt = monotonicNow();
   const http::ExchangeOptions options = callOptions(settings_.callTimeout);
   Result<http::Response> answer =
-      co_await calls_.exchange(server, std::move(query), options, forward::CallPurpose::kQuestion);
+      co_await calls_.exchange(server, std::move(query), options, forward::CallPurpose::kQuery);
   Result<forward::ServerReport> report =
       answer ? protocol_.readReport(answer.value()) : answer.error();
   if (report) {
--- a/tests/fleet/server_pool_test.cc
+++ b/tests/fleet/server_pool_test.cc
@@ -99,13 +99,13 @@
   Server distant = makeServer("a", 1);
   distant.zone = ZoneId("z2");
   pool.applyListing({distant}, kStart);
-  const auto wayMs = [this](MonotonicTime now) {
-    return pool.candidates("llm", kModel, now)[0].wayMs;
+  const auto rttMs = [this](MonotonicTime now) {
+    return pool.candidates("llm", kModel, now)[0].rttMs;
   };
-  BOOST_TEST(wayMs(kStart) == 60);
+  BOOST_TEST(rttMs(kStart) == 60);
   pool.observeConnect(distant.id, 25, kStart);
-  BOOST_TEST(wayMs(kStart) == 25);
-  BOOST_TEST(wayMs(kStart + 2 * settings.window) == 60);
+  BOOST_TEST(rttMs(kStart) == 25);
+  BOOST_TEST(rttMs(kStart + 2 * settings.window) == 60);
 }
 
 BOOST_AUTO_TEST_CASE(unreachableServersReturnAfterAProbe) {
@@ -168,8 +168,8 @@
   pool.apply(makeServer("b", 1), kStart);
   const routing::CandidateSet& candidates = pool.candidates("llm", kModel, kStart);
   BOOST_REQUIRE(candidates.size() == 2U);
-  BOOST_TEST(candidates[0].pauseBoundMs == 600);
-  BOOST_TEST(candidates[1].pauseBoundMs == 600);
+  BOOST_TEST(candidates[0].maxStreamPauseMs == 600);
+  BOOST_TEST(candidates[1].maxStreamPauseMs == 600);
 }
 
 BOOST_AUTO_TEST_CASE(serverUnreachableFromSeveralPeersIsDeprioritized) {
--- a/tests/forward/forward_test.cc
+++ b/tests/forward/forward_test.cc
@@ -156,7 +156,7 @@
   // The holder may have evicted the prefix since.
   CacheMoves moves({Milliseconds(1200)});
   const CacheMoveQuery query = settledQuery();
-  moves.learnSaved({{7, storeKeyOf(*query.store)}}, kStart);
+  moves.applyPeerSaves({{7, storeKeyOf(*query.store)}}, kStart);
   BOOST_TEST((moves.decide(query, kStart).fetchFrom == query.store));
 }
 
@@ -209,7 +209,7 @@
 BOOST_AUTO_TEST_CASE(partThatLiesInTheStoreIsNotSavedAgainSoon) {
   CacheMoves moves({Milliseconds(1200)});
   const Endpoint store = *settledQuery().store;
-  moves.learnSaved({{7, storeKeyOf(store)}}, kStart);
+  moves.applyPeerSaves({{7, storeKeyOf(store)}}, kStart);
   CacheMoveQuery query = settledQuery();
   const CacheMove soon = moves.decide(query, kStart + Milliseconds(100));
   BOOST_TEST(!soon.saveTo.has_value());
@@ -221,13 +221,13 @@
 BOOST_AUTO_TEST_CASE(saveOfAnotherNodeIsFetchedDuringARollOut) {
   CacheMoves moves({Milliseconds(1200)});
   const Endpoint store = *settledQuery().store;
-  moves.learnSaved({{7, storeKeyOf(store)}}, kStart);
+  moves.applyPeerSaves({{7, storeKeyOf(store)}}, kStart);
   CacheMoveQuery named = settledQuery();
   named.outdatedSince = kStart + Milliseconds(10);
   BOOST_TEST((moves.decide(named, kStart + Milliseconds(100)).fetchFrom == store));
   // Reports received shortly after the loss of a store may predate it.
   moves.onStoreLost(store, kStart + Milliseconds(200));
-  moves.learnSaved({{7, storeKeyOf(store)}}, kStart + Milliseconds(300));
+  moves.applyPeerSaves({{7, storeKeyOf(store)}}, kStart + Milliseconds(300));
   named.outdatedSince = kStart + Milliseconds(400);
   BOOST_TEST(!moves.decide(named, kStart + Milliseconds(500)).fetchFrom.has_value());
 }
@@ -235,7 +235,7 @@
 BOOST_AUTO_TEST_CASE(savesAreReportedOnce) {
   CacheMoves moves({Milliseconds(1200)});
   moves.onSaved(7, *settledQuery().store, kStart);
-  moves.learnSaved({{8, 1}}, kStart);
+  moves.applyPeerSaves({{8, 1}}, kStart);
   const std::vector<fleet::SavedPart> saves = moves.takeSaves();
   BOOST_REQUIRE(saves.size() == 1U);
   BOOST_TEST(saves[0].part == 7U);
--- a/tests/forward/forwarding_fixture.h
+++ b/tests/forward/forwarding_fixture.h
@@ -63,7 +63,7 @@
     if (head.status == kRefused) {
       return AnswerKind::kNotRun;
     }
-    return head.headers.find(kSeal) ? AnswerKind::kAnswered : AnswerKind::kUnproven;
+    return head.headers.find(kSeal) ? AnswerKind::kAnswered : AnswerKind::kUnverified;
   }
   std::optional<WeightsVersion> weightsOf(const http::Response& /*head*/) const override {
     return std::nullopt;
@@ -76,11 +76,12 @@
     }
     return notices;
   }
-  bool speaksFor(const fleet::Server& /*server*/, const http::Response& /*head*/) const override {
+  bool isFromServer(const fleet::Server& /*server*/,
+                    const http::Response& /*head*/) const override {
     return true;
   }
-  bool namesAnother(const fleet::Server& /*server*/,
-                    const http::Response& /*head*/) const override {
+  bool namesOtherServer(const fleet::Server& /*server*/,
+                        const http::Response& /*head*/) const override {
     return false;
   }
   http::Request healthQuery(const routes::Service& /*service*/) const override { return {}; }
--- a/tests/forward/server_calls_test.cc
+++ b/tests/forward/server_calls_test.cc
@@ -71,7 +71,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(callThatWaitsForItsConnectionIsNotSentWithinARest) {
-  begin(CallPurpose::kQuestion);
+  begin(CallPurpose::kQuery);
   context.restart();
   context.poll_one();
   pool.noteRest(server.id, monotonicNow() + std::chrono::seconds(1), monotonicNow());
@@ -93,7 +93,7 @@
 BOOST_AUTO_TEST_CASE(leavingNoticeIsReadFromAnswersOfAnyStatusAndPurpose) {
   for (const unsigned status : {200U, 404U, 500U, 503U}) {
     for (const CallPurpose purpose :
-         {CallPurpose::kRequest, CallPurpose::kOrder, CallPurpose::kQuestion}) {
+         {CallPurpose::kRequest, CallPurpose::kOrder, CallPurpose::kQuery}) {
       CallsFixture fresh;
       fresh.answersWith(status, TestServerProtocol::kLeaving, "1");
       fresh.call(purpose);
@@ -104,7 +104,7 @@
       BOOST_TEST(fresh.wasWithdrawn());
       BOOST_TEST(fresh.requestsReceived() == 1U);
       // Queries are still sent to a leaving server.
-      fresh.call(CallPurpose::kQuestion);
+      fresh.call(CallPurpose::kQuery);
       BOOST_TEST(fresh.requestsReceived() == 2U);
     }
   }
@@ -127,7 +127,7 @@
   call(CallPurpose::kRequest);
   BOOST_TEST(!isCandidate());
   for (const CallPurpose purpose : {CallPurpose::kRequest, CallPurpose::kRequestWithUnit,
-                                    CallPurpose::kOrder, CallPurpose::kQuestion}) {
+                                    CallPurpose::kOrder, CallPurpose::kQuery}) {
     call(purpose);
     BOOST_TEST(wasWithdrawn());
   }
--- a/tests/forward/version_forwarding_test.cc
+++ b/tests/forward/version_forwarding_test.cc
@@ -219,7 +219,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(theCanarysQueueDoesNotShortenTheStableVersionsBurst) {
-  settings.learnRates = false;
+  settings.learnPrefillRates = false;
   settings.admission.burst = Milliseconds(1);
   VersionServer& old = addServer("old", kOld);
   addServer("new", kNew);
--- a/tests/platform/server_notices_test.cc
+++ b/tests/platform/server_notices_test.cc
@@ -116,13 +116,13 @@
   server.id = BackendId("a");
   const platform::OperatorServers protocol;
   for (const unsigned status : {200U, 421U, 503U}) {
-    BOOST_TEST(protocol.speaksFor(server, headOf(status, platform::kInstance, {"a"})));
-    BOOST_TEST(!protocol.speaksFor(server, headOf(status, platform::kInstance, {"b"})));
+    BOOST_TEST(protocol.isFromServer(server, headOf(status, platform::kInstance, {"a"})));
+    BOOST_TEST(!protocol.isFromServer(server, headOf(status, platform::kInstance, {"b"})));
   }
   // Requests name the server that is meant, and another one refuses them so.
-  BOOST_TEST(protocol.speaksFor(server, headOf(200, platform::kSeal, {"seal"})));
-  BOOST_TEST(protocol.speaksFor(server, headOf(503, platform::kNotExecuted, {"1"})));
-  BOOST_TEST(!protocol.speaksFor(server, headOf(421, platform::kNotExecuted, {"1"})));
+  BOOST_TEST(protocol.isFromServer(server, headOf(200, platform::kSeal, {"seal"})));
+  BOOST_TEST(protocol.isFromServer(server, headOf(503, platform::kNotExecuted, {"1"})));
+  BOOST_TEST(!protocol.isFromServer(server, headOf(421, platform::kNotExecuted, {"1"})));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/routes/route_table_test.cc
+++ b/tests/routes/route_table_test.cc
@@ -40,15 +40,15 @@
   for (const std::int64_t pause : {600, 0, 250}) {
     Route route = routeAt("h", "/" + std::to_string(pause) + "/");
     route.services = {{"s", 90}, {"r", 10}};
-    route.longestPause = Milliseconds(pause);
+    route.maxEventPause = Milliseconds(pause);
     content.routes.push_back(route);
   }
   content.routes.push_back(routeAt("g", "/"));
   content.routes.back().services = {{"q", 1}};
   const RouteTable table(std::move(content));
-  BOOST_TEST(table.pauseBoundOf("s") == Milliseconds(250));
-  BOOST_TEST(table.pauseBoundOf("r") == Milliseconds(250));
-  BOOST_TEST(table.pauseBoundOf("q") == Milliseconds(0));
+  BOOST_TEST(table.maxStreamPauseOf("s") == Milliseconds(250));
+  BOOST_TEST(table.maxStreamPauseOf("r") == Milliseconds(250));
+  BOOST_TEST(table.maxStreamPauseOf("q") == Milliseconds(0));
 }
 
 BOOST_AUTO_TEST_CASE(tenantsAreFoundByAnyOfTheirKeys) {
--- a/tests/routing/one_region_test.cc
+++ b/tests/routing/one_region_test.cc
@@ -18,7 +18,7 @@
     candidate.id = BackendId("e" + std::to_string(number));
     candidate.prefillTokensPerMs = 40;
     candidate.slots = 12;
-    candidate.pauseBoundMs = 300;
+    candidate.maxStreamPauseMs = 300;
     candidate.outstanding = below(20);
     candidate.outstandingTokens = below(4) * 1000;
     candidate.sentPrefillTokens = below(20) * 1000;
--- a/tests/routing/policy_test.cc
+++ b/tests/routing/policy_test.cc
@@ -141,7 +141,7 @@
     RouteRequest request = prompt(forText ? text : 1'000 + index);
     // Each conversation about the text continues differently.
     request.blocks.resize(kBlocks + 4, BlockHash(hashPair(text, index + 1'000'000)));
-    request.decidedHereOnly = true;
+    request.decidedOnlyByThisRouter = true;
     const Choice choice = policy.choose(request, set, now);
     if (forText) {
       used.insert(set[choice.index].id);
--- a/tests/routing/prefix_home_test.cc
+++ b/tests/routing/prefix_home_test.cc
@@ -79,11 +79,11 @@
   streaming.outstanding = 6;
   candidates.put(streaming);
   BOOST_TEST(policy.choose(makeRequest(7, 2), candidates, kNow).index == home);
-  streaming.pauseBoundMs = 200;
+  streaming.maxStreamPauseMs = 200;
   candidates.put(streaming);
   BOOST_TEST(policy.choose(makeRequest(7, 3), candidates, kNow).index != home);
   // A pause within the bound has no cost.
-  streaming.pauseBoundMs = 600;
+  streaming.maxStreamPauseMs = 600;
   candidates.put(streaming);
   BOOST_TEST(policy.choose(makeRequest(7, 4), candidates, kNow).index == home);
 }
--- a/tests/routing/regions_test.cc
+++ b/tests/routing/regions_test.cc
@@ -24,7 +24,7 @@
     candidate.prefillTokensPerMs = prefillTokensPerMs;
     candidate.slots = 6;
     candidate.nearby = regionOf(number) == region;
-    candidate.wayMs = candidate.nearby ? 0 : kRoundTripMs;
+    candidate.rttMs = candidate.nearby ? 0 : kRoundTripMs;
     candidates.put(candidate);
   }
   return candidates;
