--- a/src/fleet/distance.cc
+++ b/src/fleet/distance.cc
@@ -105,8 +105,8 @@
     return false;
   }
   estimate.reportedMs = rttMs;
-  if (listener_.wayChanged) {
-    listener_.wayChanged(zone, rttMs);
+  if (listener_.rttChanged) {
+    listener_.rttChanged(zone, rttMs);
   }
   return true;
 }
@@ -162,11 +162,11 @@
   if (zone == settings_.zone) {
     return 0;
   }
-  return toMilliseconds(inOwnRegion(zone) ? settings_.sameRegionRtt : settings_.otherRegionWay);
+  return toMilliseconds(inOwnRegion(zone) ? settings_.sameRegionRtt : settings_.crossRegionRtt);
 }
 
 double Distances::longestRttMs(MonotonicTime now) const {
-  double longest = toMilliseconds(settings_.otherRegionWay);
+  double longest = toMilliseconds(settings_.crossRegionRtt);
   for (const auto& [zone, estimate] : estimates_) {
     longest = std::max(longest, estimatedRttMs(zone, now).value_or(0));
   }
--- a/src/fleet/distance.h
+++ b/src/fleet/distance.h
@@ -34,7 +34,7 @@
   bool preferOwnRegion = true;
   /// Default RTTs, used until one has been measured.
   Milliseconds sameRegionRtt{2};
-  Milliseconds otherRegionWay{60};
+  Milliseconds crossRegionRtt{60};
   /// RTTs within the region below this value count as 0: queueing delays differ by more, and an
   /// even use of all servers is worth more.
   Milliseconds floor{10};
@@ -51,7 +51,7 @@
   /// Called once for each zone that has no region though others have one.
   std::function<void(const ZoneId&)> unknownZone;
   /// Called when an RTT has changed by enough to affect routing.
-  std::function<void(const ZoneId&, double milliseconds)> wayChanged;
+  std::function<void(const ZoneId&, double milliseconds)> rttChanged;
 };
 
 /// Estimates the RTT to each zone from the connect times of its servers: the minimum over a window,
--- a/src/fleet/leaving_servers.cc
+++ b/src/fleet/leaving_servers.cc
@@ -16,7 +16,7 @@
   return true;
 }
 
-std::vector<ServerKey> LeavingServers::notedSince(std::uint64_t change) const {
+std::vector<ServerKey> LeavingServers::addedSince(std::uint64_t change) const {
   std::vector<ServerKey> runs;
   for (const auto& [run, entry] : entries_) {
     if (entry.recordedAt > change) {
--- a/src/fleet/leaving_servers.h
+++ b/src/fleet/leaving_servers.h
@@ -27,7 +27,7 @@
   /// Number of runs ever added.
   std::uint64_t changes() const { return changes_; }
   /// Runs that were added after changes() had the value `change`.
-  std::vector<ServerKey> notedSince(std::uint64_t change) const;
+  std::vector<ServerKey> addedSince(std::uint64_t change) const;
   /// Removes runs that have been unlisted for kRetention.
   /// @param freshFor how long the list has been known to be fresh since the last call.
   void removeUnlisted(const std::function<bool(ServerKey)>& isListed, Milliseconds freshFor);
--- a/src/fleet/server_backoffs.cc
+++ b/src/fleet/server_backoffs.cc
@@ -31,7 +31,8 @@
   return found->second.end();
 }
 
-std::optional<MonotonicTime> ServerBackoffs::noteSent(const BackendId& server, MonotonicTime now) {
+std::optional<MonotonicTime> ServerBackoffs::recordSent(const BackendId& server,
+                                                        MonotonicTime now) {
   const auto found = entries_.find(server);
   if (found == entries_.end()) {
     return std::nullopt;
@@ -40,7 +41,7 @@
   return found->second.end();
 }
 
-bool ServerBackoffs::noteAnswered(const BackendId& server, MonotonicTime sentAt) {
+bool ServerBackoffs::recordAnswered(const BackendId& server, MonotonicTime sentAt) {
   const auto found = entries_.find(server);
   if (found == entries_.end() || sentAt < found->second.backoffUntil) {
     return false;
--- a/src/fleet/server_backoffs.h
+++ b/src/fleet/server_backoffs.h
@@ -26,10 +26,10 @@
   std::optional<MonotonicTime> excludedUntil(const BackendId& server, MonotonicTime now) const;
   /// Records the start of a call to the server.
   /// @return when its exclusion ends, if the server is on trial.
-  std::optional<MonotonicTime> noteSent(const BackendId& server, MonotonicTime now);
+  std::optional<MonotonicTime> recordSent(const BackendId& server, MonotonicTime now);
   /// Records an answer without a backoff to a call sent at `sentAt`. Calls sent before the end of
   /// the backoff are ignored. Returns whether the trial has ended.
-  bool noteAnswered(const BackendId& server, MonotonicTime sentAt);
+  bool recordAnswered(const BackendId& server, MonotonicTime sentAt);
   bool empty() const { return entries_.empty(); }
   /// Servers that are excluded now, each with the end of its exclusion.
   std::vector<std::pair<BackendId, MonotonicTime>> excluded(MonotonicTime now) const;
--- a/src/fleet/server_pool.cc
+++ b/src/fleet/server_pool.cc
@@ -79,7 +79,7 @@
   listener_(server, ServerLoss::kRemoved);
 }
 
-void ServerPool::setLeastWeights(const ModelId& model, WeightsVersion least, MonotonicTime now) {
+void ServerPool::setMinWeights(const ModelId& model, WeightsVersion least, MonotonicTime now) {
   WeightsVersion& known = minWeights_[model];
   if (known == least) {
     return;
@@ -215,7 +215,7 @@
   return found;
 }
 
-Milliseconds ServerPool::longestQueue() const {
+Milliseconds ServerPool::maxQueueWait() const {
   double longestMs = 0;
   for (const auto& [id, entry] : servers_) {
     if (!entry.server.models.empty()) {
@@ -251,7 +251,8 @@
   }
 }
 
-void ServerPool::setMemory(const std::string& service, std::size_t tokens, MonotonicTime now) {
+void ServerPool::setMemoryTokens(const std::string& service, std::size_t tokens,
+                                 MonotonicTime now) {
   std::size_t& known = memoryTokens_[service];
   if (known == tokens) {
     return;
@@ -289,7 +290,7 @@
   }
 }
 
-double ServerPool::wayMsTo(const Server& server, MonotonicTime now) const {
+double ServerPool::rttMsTo(const Server& server, MonotonicTime now) const {
   return distances_ == nullptr ? 0 : distances_->distanceTo(server.zone, now).rttMs;
 }
 
--- a/src/fleet/server_pool.h
+++ b/src/fleet/server_pool.h
@@ -48,7 +48,7 @@
 };
 
 /// Servers that are excluded only by the backoff that they asked for.
-struct RestingServers {
+struct BackedOffServers {
   std::size_t count = 0;
   /// When the first of them may get work again; empty if there are none.
   std::optional<MonotonicTime> firstEnd;
@@ -59,11 +59,11 @@
 /// cost of a request does not grow with the number of servers. Does no I/O; callers pass the time.
 ///
 /// State belongs to one run of a server. Once the list or a report tells a later start, all state
-/// of the earlier run is dropped except for the requests that still run there (see inFlightOf());
-/// reports of an earlier start are ignored.
+/// of the earlier run is dropped except for the requests that still run there (see
+/// countInFlight()); reports of an earlier start are ignored.
 ///
 /// What a server announces in its answers takes precedence over the list and outlives its entry:
-/// that its run is leaving (noteLeaving()) and that it asks for backoff (noteRest()).
+/// that its run is leaving (recordLeaving()) and that it asks for backoff (recordBackoff()).
 ///
 /// Invariant: a server that is draining or leaving, in backoff, not listed, below the minimum
 /// allowed weights or of a version that must get no requests is in no set. It holds because every
@@ -98,7 +98,7 @@
   /// Does nothing if the server is unknown.
   void withhold(const BackendId& id, MonotonicTime now);
   /// Servers with a lower weights version of the model get no new work from now on.
-  void setLeastWeights(const ModelId& model, WeightsVersion least, MonotonicTime now);
+  void setMinWeights(const ModelId& model, WeightsVersion least, MonotonicTime now);
   /// Applies the weights version told by an answer, which is newer than the list.
   void applyWeights(const BackendId& id, const ModelId& model, WeightsVersion weights,
                     MonotonicTime now);
@@ -114,21 +114,22 @@
   void announceLoads(const std::map<BackendId, WeightsVersion>& loads, MonotonicTime now);
   /// Records that a run of a server has announced that it is leaving: it counts as draining from
   /// now on, whatever the list says. Returns whether that is new.
-  bool noteLeaving(ServerKey run, MonotonicTime now);
+  bool recordLeaving(ServerKey run, MonotonicTime now);
   const LeavingServers& leaving() const { return leaving_; }
   /// Removes leaving runs that are gone and backoffs that ended long ago; see
   /// LeavingServers::removeUnlisted().
-  void forgetNotices(Milliseconds freshFor, MonotonicTime now);
+  void expireNotices(Milliseconds freshFor, MonotonicTime now);
   /// Records that the server asked this node to send nothing until `until`.
-  void noteRest(const BackendId& id, MonotonicTime until, MonotonicTime now);
+  void recordBackoff(const BackendId& id, MonotonicTime until, MonotonicTime now);
   /// Records the start of a call. A server whose backoff has ended gets no other call until this
   /// one is answered.
-  void noteSent(const BackendId& id, MonotonicTime now);
+  void recordSent(const BackendId& id, MonotonicTime now);
   /// Records an answer without a backoff request to a call sent at `sentAt`.
-  void noteAnswered(const BackendId& id, MonotonicTime sentAt, MonotonicTime now);
-  const ServerBackoffs& rests() const { return backoffs_; }
+  void recordAnswered(const BackendId& id, MonotonicTime sentAt, MonotonicTime now);
+  const ServerBackoffs& backoffs() const { return backoffs_; }
   /// Servers of the service and model that only their backoff excludes.
-  RestingServers restingOf(std::string_view service, const ModelId& model, MonotonicTime now) const;
+  BackedOffServers backedOffServers(std::string_view service, const ModelId& model,
+                                    MonotonicTime now) const;
   void recordSuccess(const BackendId& id);
   void recordFailure(const BackendId& id, MonotonicTime now);
 
@@ -152,18 +153,18 @@
   /// Number of servers that are listed and not draining, by service and version.
   std::map<std::string, std::map<SoftwareVersion, std::size_t>> listedVersions() const;
   /// Number of servers of the version that are listed, reachable and neither draining nor ejected.
-  std::size_t usableOf(const std::string& service, const SoftwareVersion& version,
-                       MonotonicTime now) const;
+  std::size_t countUsable(const std::string& service, const SoftwareVersion& version,
+                          MonotonicTime now) const;
   /// Requests in flight on servers of the version, from this node and, as reported, from others.
   /// Requests that this node sent to an earlier run count until they end, as that process may still
   /// be alive.
-  std::size_t inFlightOf(const std::string& service, const SoftwareVersion& version) const;
+  std::size_t countInFlight(const std::string& service, const SoftwareVersion& version) const;
   /// Whether the server's answers are representative of its version's speed: not while it warms up,
   /// awaits weights or has just loaded some. Server::warmUp counts from the first listing at this
   /// node, so it starts again when this node restarts.
-  bool tellsSpeed(const BackendId& id, MonotonicTime now) const;
+  bool isSpeedSample(const BackendId& id, MonotonicTime now) const;
   /// Whether the server is listed and no node is known to have failed to reach it.
-  bool reachedByAll(const BackendId& id) const;
+  bool isReachableFromAllNodes(const BackendId& id) const;
   /// Null if the server is not listed.
   const Server* find(const BackendId& id) const;
   /// The listed run with this key; null if it is not listed.
@@ -174,7 +175,7 @@
   std::vector<Server> unreachable() const;
   /// Longest expected queueing time of a request at any model server, given the known load of all
   /// nodes.
-  Milliseconds longestQueue() const;
+  Milliseconds maxQueueWait() const;
   std::size_t size() const { return servers_.size(); }
 
   /// Load of this node on each server, and which servers it cannot reach.
@@ -185,17 +186,17 @@
   /// When the load of the other nodes was last set; empty before the first time.
   std::optional<MonotonicTime> peerLoadsAt() const { return peerLoadsAt_; }
   /// Sets the KV cache capacity, in tokens, of each server of a service; 0: unknown.
-  void setMemory(const std::string& service, std::size_t tokens, MonotonicTime now);
+  void setMemoryTokens(const std::string& service, std::size_t tokens, MonotonicTime now);
 
   /// Sets how long streams of the service's servers may pause; 0: no bound.
   void setPauseBound(const std::string& service, Milliseconds bound, MonotonicTime now);
 
   /// Sets the source of the candidates' RTTs. It must outlive the pool.
-  void useDistances(Distances& distances) { distances_ = &distances; }
+  void setDistances(Distances& distances) { distances_ = &distances; }
   /// Records the time that a connection to the server took.
   void observeConnect(const BackendId& id, double milliseconds, MonotonicTime now);
   /// Round-trip time to the server; 0 if unknown.
-  double wayMsTo(const Server& server, MonotonicTime now) const;
+  double rttMsTo(const Server& server, MonotonicTime now) const;
 
   void addLoad(const BackendId& id, const DispatchLoad& load, MonotonicTime now);
   /// Records the time to the first token of a request.
--- a/src/fleet/server_pool_notices.cc
+++ b/src/fleet/server_pool_notices.cc
@@ -7,7 +7,7 @@
 
 namespace calicodrift::fleet {
 
-bool ServerPool::noteLeaving(ServerKey run, MonotonicTime now) {
+bool ServerPool::recordLeaving(ServerKey run, MonotonicTime now) {
   if (!leaving_.add(run)) {
     return false;
   }
@@ -22,14 +22,14 @@
   return true;
 }
 
-void ServerPool::forgetNotices(Milliseconds freshFor, MonotonicTime now) {
+void ServerPool::expireNotices(Milliseconds freshFor, MonotonicTime now) {
   backoffs_.removeExpired(now);
   if (!leaving_.empty()) {
     leaving_.removeUnlisted([this](ServerKey run) { return findRun(run) != nullptr; }, freshFor);
   }
 }
 
-void ServerPool::noteRest(const BackendId& id, MonotonicTime until, MonotonicTime now) {
+void ServerPool::recordBackoff(const BackendId& id, MonotonicTime until, MonotonicTime now) {
   if (!backoffs_.add(id, until, now)) {
     return;
   }
@@ -39,11 +39,11 @@
   }
 }
 
-void ServerPool::noteSent(const BackendId& id, MonotonicTime now) {
+void ServerPool::recordSent(const BackendId& id, MonotonicTime now) {
   if (backoffs_.empty()) {
     return;
   }
-  const std::optional<MonotonicTime> until = backoffs_.noteSent(id, now);
+  const std::optional<MonotonicTime> until = backoffs_.recordSent(id, now);
   Entry* entry = entryOf(id);
   if (until && entry != nullptr) {
     pauseExpiries_.emplace(*until, id);
@@ -51,8 +51,8 @@
   }
 }
 
-void ServerPool::noteAnswered(const BackendId& id, MonotonicTime sentAt, MonotonicTime now) {
-  if (backoffs_.empty() || !backoffs_.noteAnswered(id, sentAt)) {
+void ServerPool::recordAnswered(const BackendId& id, MonotonicTime sentAt, MonotonicTime now) {
+  if (backoffs_.empty() || !backoffs_.recordAnswered(id, sentAt)) {
     return;
   }
   if (Entry* entry = entryOf(id)) {
@@ -60,9 +60,9 @@
   }
 }
 
-RestingServers ServerPool::restingOf(std::string_view service, const ModelId& model,
-                                     MonotonicTime now) const {
-  RestingServers resting;
+BackedOffServers ServerPool::backedOffServers(std::string_view service, const ModelId& model,
+                                              MonotonicTime now) const {
+  BackedOffServers backedOff;
   for (const auto& [id, end] : backoffs_.excluded(now)) {
     const auto found = servers_.find(id);
     if (found == servers_.end()) {
@@ -73,11 +73,11 @@
       return key.service == service && key.model == model;
     });
     if (matches) {
-      ++resting.count;
-      resting.firstEnd = std::min(end, resting.firstEnd.value_or(end));
+      ++backedOff.count;
+      backedOff.firstEnd = std::min(end, backedOff.firstEnd.value_or(end));
     }
   }
-  return resting;
+  return backedOff;
 }
 
 }  // namespace calicodrift::fleet
--- a/src/fleet/server_pool_versions.cc
+++ b/src/fleet/server_pool_versions.cc
@@ -79,8 +79,8 @@
   return listed;
 }
 
-std::size_t ServerPool::usableOf(const std::string& service, const SoftwareVersion& version,
-                                 MonotonicTime now) const {
+std::size_t ServerPool::countUsable(const std::string& service, const SoftwareVersion& version,
+                                    MonotonicTime now) const {
   std::size_t count = 0;
   for (const auto& [id, entry] : servers_) {
     const bool asked = entry.server.service == service && entry.server.version == version;
@@ -89,8 +89,8 @@
   return count;
 }
 
-std::size_t ServerPool::inFlightOf(const std::string& service,
-                                   const SoftwareVersion& version) const {
+std::size_t ServerPool::countInFlight(const std::string& service,
+                                      const SoftwareVersion& version) const {
   std::size_t requests = 0;
   for (const auto& [id, entry] : servers_) {
     if (entry.server.service == service && entry.server.version == version) {
@@ -105,7 +105,7 @@
   return requests;
 }
 
-bool ServerPool::tellsSpeed(const BackendId& id, MonotonicTime now) const {
+bool ServerPool::isSpeedSample(const BackendId& id, MonotonicTime now) const {
   const auto found = servers_.find(id);
   if (found == servers_.end()) {
     return false;
@@ -115,7 +115,7 @@
   return now >= entry.warmUntil && !awaitsWeights(entry) && !recentlyLoaded;
 }
 
-bool ServerPool::reachedByAll(const BackendId& id) const {
+bool ServerPool::isReachableFromAllNodes(const BackendId& id) const {
   const auto found = servers_.find(id);
   return found != servers_.end() && found->second.health.reachable() &&
          found->second.peers.unreachableFrom == 0;
--- a/src/forward/answer_observer.h
+++ b/src/forward/answer_observer.h
@@ -34,7 +34,7 @@
   service_rollout::OrderKey order;
   BackendId server;
   DispatchEnd end = DispatchEnd::kNoAnswer;
-  /// Whether the latency is representative of the version, see ServerPool::tellsSpeed().
+  /// Whether the latency is representative of the version, see ServerPool::isSpeedSample().
   bool latencyRepresentative = true;
   /// Milliseconds from sending the request to the first event, or to the body of the answer.
   std::optional<double> startMs;
--- a/src/forward/forwarder.cc
+++ b/src/forward/forwarder.cc
@@ -179,7 +179,7 @@
 }
 
 awaitable<Result<void>> Forwarder::admitSuspect(Job& job) {
-  if (!context_.quarantine.remembersAny()) {
+  if (!context_.quarantine.tracksAny()) {
     co_return boost::outcome_v2::success();
   }
   const quarantine::RequestFingerprint fingerprint = job.fingerprint();
--- a/src/forward/forwarder_choice.cc
+++ b/src/forward/forwarder_choice.cc
@@ -42,14 +42,14 @@
       choice = atLimitsError(job, soonest);
       break;
     }
-    const server_limits::UnitVerdict unit = co_await limits.take(server);
+    const server_limits::UnitResult unit = co_await limits.take(server);
     if (unit.granted) {
       choice.value().usedLimitUnit = unit.tookUnit;
       choice.value().atLimitCount = avoided.size() - static_cast<std::size_t>(triedBefore);
       break;
     }
     const MonotonicTime now = monotonicNow();
-    context_.pool.pause(server.id, now + std::min(unit.wait, limits.kLongestRefusal), now);
+    context_.pool.pause(server.id, now + std::min(unit.wait, limits.kMaxRefusalTime), now);
     soonest = std::min(soonest, unit.wait);
     avoided.push_back(server.id);
     choice = chooseServer(job, false, now);
@@ -67,16 +67,16 @@
 }
 
 Error Forwarder::noServerError(const Job& job, MonotonicTime now) {
-  const fleet::RestingServers resting =
-      context_.pool.restingOf(job.service, job.request.model, now);
-  if (!resting.firstEnd) {
+  const fleet::BackedOffServers backedOff =
+      context_.pool.backedOffServers(job.service, job.request.model, now);
+  if (!backedOff.firstEnd) {
     return fail(ErrorKind::kNoBackend, "no usable server of '" + job.service + "'");
   }
   Error error =
       fail(ErrorKind::kOverloaded, "all servers of '" + job.service + "' have asked for a rest");
   error.reason = "servers_at_rest";
   error.retryAfter =
-      limits::spreadReturn(std::chrono::ceil<Milliseconds>(*resting.firstEnd - now), random_);
+      limits::spreadReturn(std::chrono::ceil<Milliseconds>(*backedOff.firstEnd - now), random_);
   return error;
 }
 
@@ -101,8 +101,8 @@
     return noServerError(job, now);
   }
   const routing::Choice choice =
-      job.trial.ofSuspect() ? chooseForTrial(job.routeRequest, candidates, job.trial.server())
-                            : policyFor(job).choose(job.routeRequest, candidates, now);
+      job.trial.isOfSuspect() ? chooseForTrial(job.routeRequest, candidates, job.trial.server())
+                              : policyFor(job).choose(job.routeRequest, candidates, now);
   ChosenServer chosen;
   chosen.candidate = candidates[choice.index];
   if (const Result<void> admitted = admit(job, chosen.candidate, allowed.track, now); !admitted) {
@@ -119,7 +119,7 @@
   chosen.track = allowed.track;
   chosen.order = allowed.order;
   chosen.latencyRepresentative =
-      context_.rollouts.onAnswer && context_.pool.tellsSpeed(chosen.server.id, now);
+      context_.rollouts.onAnswer && context_.pool.isSpeedSample(chosen.server.id, now);
   if (choice.holder) {
     chosen.holder = candidates[*choice.holder];
   }
--- a/src/forward/forwarder_dispatch.cc
+++ b/src/forward/forwarder_dispatch.cc
@@ -99,7 +99,7 @@
                  ageOf(weights.outdatedSince, now), weights.source,
                  std::chrono::floor<Milliseconds>(now - startedAt_),
                  ageOf(context_.pool.peerLoadsAt(), now), chosen.atLimitCount,
-                 context_.pool.restingOf(job.service, job.request.model, now).count});
+                 context_.pool.backedOffServers(job.service, job.request.model, now).count});
   Result<void> outcome = co_await runAttempt(job, dispatch, chosen, load);
   const auto underWay = std::chrono::floor<Milliseconds>(monotonicNow() - now);
   co_await reportToQuarantine(job, chosen.server, underWay, outcome);
@@ -130,7 +130,7 @@
                                               const ChosenServer& chosen, fleet::LoadGuard& load) {
   const MonotonicTime sent = monotonicNow();
   const std::size_t waitingTokens = chosen.waitingTokens();
-  const double rttMs = context_.pool.wayMsTo(dispatch.server, sent);
+  const double rttMs = context_.pool.rttMsTo(dispatch.server, sent);
   std::optional<double> startMs;
   const bool counts = job.attempts.sent == 1 || chosen.track == fleet::Track::kCandidate;
   if (context_.rollouts.onSent && chosen.order != service_rollout::OrderKey() && counts) {
@@ -218,8 +218,8 @@
                                               Milliseconds underWay, const Result<void>& outcome) {
   quarantine::QuarantineNode& quarantine = context_.quarantine;
   if (outcome || job.ranToServerError) {
-    if (quarantine.remembersAny()) {
-      quarantine.noteServed(job.fingerprint());
+    if (quarantine.tracksAny()) {
+      quarantine.recordServed(job.fingerprint());
     }
   } else if (co_await processEndedDuring(job, server, outcome)) {
     const quarantine::RequestFingerprint fingerprint = job.fingerprint();
@@ -227,7 +227,7 @@
     if (context_.pool.isCurrent(server)) {
       context_.pool.markUnreachable(server.id, monotonicNow());
     }
-    co_await quarantine.noteEnded(fingerprint, quarantine::runOf(server), underWay);
+    co_await quarantine.recordCrash(fingerprint, quarantine::runOf(server), underWay);
   }
   job.trial = {};
 }
@@ -284,8 +284,8 @@
   // A stream of a run that has been replaced was broken by the crash of that run.
   const bool replaced = !context_.pool.isCurrent(chosen.server);
   report.end = replaced && end == DispatchEnd::kBroken ? DispatchEnd::kNoAnswer : end;
-  report.latencyRepresentative =
-      chosen.latencyRepresentative && !replaced && context_.pool.tellsSpeed(chosen.server.id, now);
+  report.latencyRepresentative = chosen.latencyRepresentative && !replaced &&
+                                 context_.pool.isSpeedSample(chosen.server.id, now);
   report.startMs = startMs;
   if (dispatch.weights) {
     const bool sharedPrefixAvailable =
@@ -299,7 +299,9 @@
   if (const auto answer = observer_.observe(report, now)) {
     hooks.onAnswer(chosen.order, *answer);
   }
-  const auto isUp = [this](const BackendId& id) { return context_.pool.reachedByAll(id); };
+  const auto isUp = [this](const BackendId& id) {
+    return context_.pool.isReachableFromAllNodes(id);
+  };
   for (const auto& [order, answer] : observer_.takeBrokenStreams(isUp, now)) {
     hooks.onAnswer(order, answer);
   }
--- a/src/forward/server_calls.cc
+++ b/src/forward/server_calls.cc
@@ -26,7 +26,7 @@
   const std::function<Result<void>()> beforeSend = [&]() -> Result<void> {
     BOOST_OUTCOME_TRY(mayBegin(server, purpose));
     sent = {context_.limits.versionOf(server), monotonicNow()};
-    context_.pool.noteSent(server.id, sent.at);
+    context_.pool.recordSent(server.id, sent.at);
     return boost::outcome_v2::success();
   };
   // No connection is made for a call that may not begin.
@@ -56,7 +56,7 @@
 }
 
 Result<void> ServerCalls::mayBegin(const fleet::Server& server, CallPurpose purpose) const {
-  if (const auto until = context_.pool.rests().excludedUntil(server.id, monotonicNow())) {
+  if (const auto until = context_.pool.backoffs().excludedUntil(server.id, monotonicNow())) {
     return withdrawnError(server, "has asked for a rest");
   }
   if (purpose == CallPurpose::kQuery) {
@@ -83,7 +83,7 @@
     return;
   }
   const ServerNotices notices = context_.protocol.noticesOf(head);
-  context_.limits.noteHead(server, sent.limit, notices.requestLimit);
+  context_.limits.recordAnswerHead(server, sent.limit, notices.requestLimit);
   if (!notices.unreadable.empty()) {
     handleUnreadable(server, notices.unreadable);
   }
@@ -93,20 +93,20 @@
   if (notices.rest) {
     handleRest(server, *notices.rest, head);
   } else {
-    context_.pool.noteAnswered(server.id, sent.at, monotonicNow());
+    context_.pool.recordAnswered(server.id, sent.at, monotonicNow());
   }
 }
 
 void ServerCalls::handleLeaving(const fleet::Server& server, const http::Response& head) {
   context_.metrics.countNotice("leaving");
-  if (!context_.pool.noteLeaving(fleet::keyOf(server), monotonicNow())) {
+  if (!context_.pool.recordLeaving(fleet::keyOf(server), monotonicNow())) {
     return;
   }
   log::write(log::Level::kInfo, "server_says_it_leaves",
              {{"server", server.id.value()},
               {"run", std::to_string(fleet::incarnationOf(server).value())},
               {"status", std::to_string(head.status)}});
-  context_.limits.tellLeaving();
+  context_.limits.announceLeaving();
 }
 
 void ServerCalls::handleRest(const fleet::Server& server, Milliseconds rest,
@@ -114,7 +114,7 @@
   context_.metrics.countNotice("rest");
   std::uniform_int_distribution<std::int64_t> spread(0, kRestEndSpread.count());
   const MonotonicTime now = monotonicNow();
-  context_.pool.noteRest(server.id, now + rest + Milliseconds(spread(random_)), now);
+  context_.pool.recordBackoff(server.id, now + rest + Milliseconds(spread(random_)), now);
   log::write(log::Level::kInfo, "server_asks_for_rest",
              {{"server", server.id.value()},
               {"status", std::to_string(head.status)},
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -45,7 +45,7 @@
     log::write(log::Level::kWarning, "zone_without_region",
                {{"zone", zone.value()}, {"served_as", "the farthest"}});
   };
-  listener.wayChanged = [](const ZoneId& zone, double milliseconds) {
+  listener.rttChanged = [](const ZoneId& zone, double milliseconds) {
     log::write(log::Level::kInfo, "way_learnt",
                {{"zone", zone.value()}, {"ms", std::to_string(std::lround(milliseconds))}});
   };
@@ -153,7 +153,7 @@
                   [this](http::Request& request, http::ResponseWriter& writer) {
                     return peerPaths_.handle(request, writer);
                   }) {
-  pool_.useDistances(distances_);
+  pool_.setDistances(distances_);
   prober_.onAsk([this](fleet::Server server) { return mayProbe(std::move(server)); });
   for (const std::string_view path : {relay::kViewPath, relay::kJoinPath, relay::kRootsPath}) {
     peerPaths_.add(std::string(path), [this](http::Request& request, http::ResponseWriter& writer) {
@@ -281,7 +281,7 @@
   if (!serverCalls_.mayBegin(server, forward::CallPurpose::kQuery)) {
     co_return false;
   }
-  const server_limits::UnitVerdict unit = co_await serverLimits_.take(std::move(server));
+  const server_limits::UnitResult unit = co_await serverLimits_.take(std::move(server));
   co_return unit.granted;
 }
 
@@ -340,7 +340,7 @@
   front_.setLimits(frontLimits(settings_, table.limits()));
   for (const routes::Service& service : table.services()) {
     if (service.engine) {
-      pool_.setMemory(service.name, service.engine->cacheTokens, monotonicNow());
+      pool_.setMemoryTokens(service.name, service.engine->cacheTokens, monotonicNow());
       if (settings_.mechanisms.pauseBounds) {
         pool_.setPauseBound(service.name, table.maxStreamPauseOf(service.name), monotonicNow());
       }
@@ -361,7 +361,7 @@
     forwarder_.onServerLost(server.id, loss);
   }
   if (loss == fleet::ServerLoss::kUnreachable) {
-    quarantine_.noteServerGone(server);
+    quarantine_.recordServerGone(server);
   }
   if (loss == fleet::ServerLoss::kRestarted) {
     client_.dropConnections(server.endpoint);
--- a/src/gateway/module_settings.cc
+++ b/src/gateway/module_settings.cc
@@ -105,7 +105,7 @@
   if (!distance.regions.empty() && !settings.relayGroup.empty()) {
     distance.regions.try_emplace(distance.zone, settings.relayGroup);
   }
-  distance.otherRegionWay = settings.regionWay;
+  distance.crossRegionRtt = settings.regionWay;
   distance.preferOwnRegion = settings.mechanisms.regionHomes;
   return distance;
 }
--- a/src/gateway/server_prober.cc
+++ b/src/gateway/server_prober.cc
@@ -64,7 +64,7 @@
   }
   http::Request query = protocol_.healthQuery(*service);
   http::ExchangeOptions options;
-  const double rttMs = pool_.wayMsTo(server, monotonicNow());
+  const double rttMs = pool_.rttMsTo(server, monotonicNow());
   const Milliseconds timeout =
       std::max(kProbeTimeout, Milliseconds(static_cast<std::int64_t>(kProbeRoundTrips * rttMs)));
   options.connectTimeout = timeout;
--- a/src/gateway/service_rollouts_decisions.cc
+++ b/src/gateway/service_rollouts_decisions.cc
@@ -64,14 +64,14 @@
 void ServiceRollouts::addTraffic(const ServiceRecord& record, PlanInput& input) const {
   const fleet::ServerPool& pool = context_.pool;
   const MonotonicTime now = monotonicNow();
-  input.stableServers = pool.usableOf(record.service, record.stable, now);
-  input.stableInFlight = pool.inFlightOf(record.service, record.stable);
+  input.stableServers = pool.countUsable(record.service, record.stable, now);
+  input.stableInFlight = pool.countInFlight(record.service, record.stable);
   if (!record.candidate.value().empty()) {
-    input.candidateServers = pool.usableOf(record.service, record.candidate, now);
+    input.candidateServers = pool.countUsable(record.service, record.candidate, now);
   }
   for (const auto& [version, servers] : listedVersionsOf(record.service)) {
     if (version != record.stable) {
-      input.otherInFlight += pool.inFlightOf(record.service, version);
+      input.otherInFlight += pool.countInFlight(record.service, version);
     }
   }
   const auto found = progress_.find(keyOf(record));
--- a/src/gateway/store_views.cc
+++ b/src/gateway/store_views.cc
@@ -248,10 +248,10 @@
 void StoreViews::refreshLeastWeights() {
   const MonotonicTime now = monotonicNow();
   // A request begins only when it has come through its server's queue.
-  const Milliseconds beyond = pool_.longestQueue() - kQueueInMargin;
+  const Milliseconds beyond = pool_.maxQueueWait() - kQueueInMargin;
   const Milliseconds allowance = std::clamp(beyond, Milliseconds(0), kMostAllowance);
   for (const ModelId& model : targets_.models()) {
-    pool_.setLeastWeights(model, targets_.least(model, now + allowance), now);
+    pool_.setMinWeights(model, targets_.least(model, now + allowance), now);
     listeners_.onLeastWaiting(model, targets_.leastWaiting(model, now));
   }
   nextTermEnd_ = targets_.nextEnd(now);
--- a/src/quarantine/crash_ledger.cc
+++ b/src/quarantine/crash_ledger.cc
@@ -32,8 +32,8 @@
   return runOf(server.id, fleet::incarnationOf(server));
 }
 
-bool CrashLedger::noteEnded(const RequestFingerprint& request, ServerRun run, Milliseconds underWay,
-                            MonotonicTime now) {
+bool CrashLedger::recordCrash(const RequestFingerprint& request, ServerRun run,
+                              Milliseconds underWay, MonotonicTime now) {
   return merge({request, {run}, {}, static_cast<std::uint32_t>(underWay.count())}, now);
 }
 
--- a/src/quarantine/crash_ledger.h
+++ b/src/quarantine/crash_ledger.h
@@ -94,8 +94,8 @@
   /// Records that a server run crashed while the request was in flight there.
   /// @param underWay how long the request had been in flight.
   /// @return whether that is new.
-  bool noteEnded(const RequestFingerprint& request, ServerRun run, Milliseconds underWay,
-                 MonotonicTime now);
+  bool recordCrash(const RequestFingerprint& request, ServerRun run, Milliseconds underWay,
+                   MonotonicTime now);
   /// Records that a server without requests of this node in flight was found gone: it may have
   /// crashed together with others. Known to this node only.
   void recordIdleCrash(ServerRun run, MonotonicTime now);
--- a/src/quarantine/quarantine_node.cc
+++ b/src/quarantine/quarantine_node.cc
@@ -198,8 +198,8 @@
   }
 }
 
-awaitable<void> QuarantineNode::noteEnded(RequestFingerprint request, ServerRun run,
-                                          Milliseconds underWay) {
+awaitable<void> QuarantineNode::recordCrash(RequestFingerprint request, ServerRun run,
+                                            Milliseconds underWay) {
   metrics_.countCrash();
   merge(Suspect{request, {run}, {}, static_cast<std::uint32_t>(underWay.count())});
   co_await spreader_.tell(kTellTime);
--- a/src/quarantine/quarantine_node.h
+++ b/src/quarantine/quarantine_node.h
@@ -42,7 +42,7 @@
       : server_(server), end_(std::make_shared<EndNotifier>(std::move(onEnd))) {}
 
   /// Whether servers have crashed under the request before.
-  bool ofSuspect() const { return end_ != nullptr; }
+  bool isOfSuspect() const { return end_ != nullptr; }
   /// Server to send the request to, chosen so that no other suspect is tried there.
   ServerRun server() const { return server_; }
 
@@ -77,11 +77,11 @@
 
   void start();
   /// Whether any request is tracked; if not, requests need no digest.
-  bool remembersAny() const { return !ledger_.empty(); }
+  bool tracksAny() const { return !ledger_.empty(); }
   bool remembers(const RequestFingerprint& request) const { return ledger_.contains(request); }
   /// Records that a server was found gone; no request of this node needs to have been in flight
   /// there.
-  void noteServerGone(const fleet::Server& server) {
+  void recordServerGone(const fleet::Server& server) {
     ledger_.recordIdleCrash(runOf(server), monotonicNow());
   }
   /// Decides whether the request may be sent to a server now. Fails with kRequestBarred, or with
@@ -93,10 +93,10 @@
   /// Records that a server process crashed while the request was in flight there. Returns when all
   /// reachable nodes have been informed, after kTellTime at most.
   /// @param underWay how long the request had been in flight.
-  boost::asio::awaitable<void> noteEnded(RequestFingerprint request, ServerRun run,
-                                         Milliseconds underWay);
+  boost::asio::awaitable<void> recordCrash(RequestFingerprint request, ServerRun run,
+                                           Milliseconds underWay);
   /// Records that the request completed.
-  void noteServed(const RequestFingerprint& request) { clearRequest(request, "served"); }
+  void recordServed(const RequestFingerprint& request) { clearRequest(request, "served"); }
   /// Serves other nodes at kReportPath and kTrialPath.
   boost::asio::awaitable<void> handle(http::Request& request, http::ResponseWriter& writer);
   /// Serves operators: GET lists barred and suspected requests, POST with `?request=` lifts a bar.
--- a/src/server_limits/notice_exchange.cc
+++ b/src/server_limits/notice_exchange.cc
@@ -26,7 +26,7 @@
       leavingSpreader_(newsContext([this] { return context_.pool.leaving().changes(); },
                                    [this](std::uint64_t since) {
                                      LimitReport report;
-                                     report.leaving = context_.pool.leaving().notedSince(since);
+                                     report.leaving = context_.pool.leaving().addedSince(since);
                                      return report;
                                    })) {}
 
@@ -88,7 +88,7 @@
   LimitReport report;
   report.fresh = true;
   report.records = limits_.changedSince(0);
-  report.leaving = context_.pool.leaving().notedSince(0);
+  report.leaving = context_.pool.leaving().addedSince(0);
   const std::uint64_t sentLimits = limits_.changes();
   const std::uint64_t sentLeaving = context_.pool.leaving().changes();
   const Result<LimitReport> answer =
@@ -135,7 +135,7 @@
   answer.sender = context_.tree.endpoint.toString();
   if (report.fresh) {
     answer.records = limits_.changedSince(0);
-    answer.leaving = leaving.notedSince(0);
+    answer.leaving = leaving.addedSince(0);
     limitSpreader_.setTold(report.sender, limits_.changes());
     leavingSpreader_.setTold(report.sender, leaving.changes());
   } else {
@@ -174,7 +174,7 @@
 
 void NoticeExchange::mergeLeaving(const std::vector<fleet::ServerKey>& runs) {
   for (const fleet::ServerKey run : runs) {
-    if (!context_.pool.noteLeaving(run, monotonicNow())) {
+    if (!context_.pool.recordLeaving(run, monotonicNow())) {
       continue;
     }
     metrics_.countLeavingLearnt();
--- a/src/server_limits/notice_exchange.h
+++ b/src/server_limits/notice_exchange.h
@@ -44,7 +44,7 @@
   /// Synchronizes new neighbours and sends pending news to the others. Called at short intervals.
   boost::asio::awaitable<void> update();
   void announceLimits() { limitSpreader_.tellSoon(); }
-  void tellLeaving() { leavingSpreader_.tellSoon(); }
+  void announceLeaving() { leavingSpreader_.tellSoon(); }
   /// Merges limits into the table, and reports those that changed to onLimitLearnt.
   void mergeLimits(const std::vector<LimitRecord>& records);
   /// Handles another node's report; returns the answer once this node's neighbours have been
--- a/src/server_limits/server_limit_node.cc
+++ b/src/server_limits/server_limit_node.cc
@@ -95,8 +95,8 @@
               {"version", std::to_string(record.version.value())}});
 }
 
-void ServerLimitNode::noteHead(const fleet::Server& server, LimitVersion seen,
-                               const NamedLimit& named) {
+void ServerLimitNode::recordAnswerHead(const fleet::Server& server, LimitVersion seen,
+                                       const NamedLimit& named) {
   if (named && !named.value() && !any()) {
     return;
   }
@@ -141,18 +141,18 @@
   return context_.trees.size() > 1 ? kCrossTreeUnitTimeout : kUnitTimeout;
 }
 
-awaitable<UnitVerdict> ServerLimitNode::take(fleet::Server server) {
+awaitable<UnitResult> ServerLimitNode::take(fleet::Server server) {
   const fleet::ServerKey key = fleet::keyOf(server);
   const LimitRecord* known = table_.find(key);
   if (known == nullptr || !known->limited) {
-    co_return UnitVerdict{};
+    co_return UnitResult{};
   }
   const MonotonicTime begin = monotonicNow();
   const auto refused = refusedUntil_.find(key);
   if (refused != refusedUntil_.end() && begin < refused->second) {
     metrics_.countUnit(false);
     const auto wait = std::chrono::ceil<Milliseconds>(refused->second - begin);
-    co_return UnitVerdict{false, false, wait};
+    co_return UnitResult{false, false, wait};
   }
   UnitRequest request;
   request.limit = *known;
@@ -167,11 +167,11 @@
   const bool granted = tookUnit || !isLimited(server);
   metrics_.countUnit(granted);
   if (granted) {
-    co_return UnitVerdict{true, tookUnit, Milliseconds(0)};
+    co_return UnitResult{true, tookUnit, Milliseconds(0)};
   }
   const Milliseconds wait = reply.decided ? Milliseconds(reply.waitMs) : kUndecidedWait;
   refusedUntil_[key] = now + std::min(wait, kMaxRefusalTime);
-  co_return UnitVerdict{false, false, wait};
+  co_return UnitResult{false, false, wait};
 }
 
 void ServerLimitNode::giveBack(const fleet::Server& server) {
@@ -325,7 +325,7 @@
       std::exchange(listIsFresh_, now - context_.listFreshAt() < kExpiryInterval);
   const auto sinceLast = std::chrono::floor<Milliseconds>(now - lastExpiryAt_);
   lastExpiryAt_ = now;
-  context_.pool.forgetNotices(listWasFresh && listIsFresh_ ? sinceLast : Milliseconds(0), now);
+  context_.pool.expireNotices(listWasFresh && listIsFresh_ ? sinceLast : Milliseconds(0), now);
   table_.removeUnlisted([this](fleet::ServerKey server) { return serverOf(server).has_value(); });
   std::erase_if(unreadable_,
                 [this](fleet::ServerKey server) { return !serverOf(server).has_value(); });
@@ -381,7 +381,7 @@
 
 boost::json::array ServerLimitNode::leavingList() const {
   boost::json::array list;
-  for (const fleet::ServerKey run : context_.pool.leaving().notedSince(0)) {
+  for (const fleet::ServerKey run : context_.pool.leaving().addedSince(0)) {
     if (const std::optional<fleet::Server> server = serverOf(run)) {
       list.push_back(
           boost::json::object{{"server", server->id.value()}, {"service", server->service}});
@@ -393,7 +393,7 @@
 boost::json::array ServerLimitNode::backoffList() const {
   boost::json::array list;
   const MonotonicTime now = monotonicNow();
-  for (const auto& [id, end] : context_.pool.rests().excluded(now)) {
+  for (const auto& [id, end] : context_.pool.backoffs().excluded(now)) {
     const fleet::Server* server = context_.pool.find(id);
     const auto left = std::chrono::ceil<Milliseconds>(end - now);
     list.push_back(boost::json::object{{"server", id.value()},
--- a/src/server_limits/server_limit_node.h
+++ b/src/server_limits/server_limit_node.h
@@ -41,7 +41,7 @@
   fleet::ServerPool& pool;
   /// Latest time at which the list of servers is known to have been current.
   std::function<MonotonicTime()> listFreshAt;
-  /// Probes the server's health; the head of its answer is passed to noteHead().
+  /// Probes the server's health; the head of its answer is passed to recordAnswerHead().
   std::function<boost::asio::awaitable<void>(fleet::Server)> probe;
   /// Names of all relay trees of the fleet, the name of this node's own tree, and a function that
   /// returns the roots of another tree. A single name if there is one tree.
@@ -52,7 +52,7 @@
 };
 
 /// Permission to send one request to a server.
-struct UnitVerdict {
+struct UnitResult {
   bool granted = true;
   /// Whether a unit was taken, which means that the server has a limit.
   bool tookUnit = false;
@@ -78,8 +78,8 @@
   void start();
   /// Whether any server has a limit; if not, requests need no look-up.
   bool any() const { return table_.countLimited() > 0; }
-  /// Known version of the server's limit, to be passed to noteHead() with the answer. Free while no
-  /// server has a limit, as any named limit is new then.
+  /// Known version of the server's limit, to be passed to recordAnswerHead() with the answer. Free
+  /// while no server has a limit, as any named limit is new then.
   LimitVersion versionOf(const fleet::Server& server) const {
     return any() ? table_.versionOf(fleet::keyOf(server)) : LimitVersion();
   }
@@ -88,15 +88,15 @@
   }
   /// Takes a unit for a request that is sent immediately afterwards. Always grants if the server
   /// has no limit.
-  boost::asio::awaitable<UnitVerdict> take(fleet::Server server);
+  boost::asio::awaitable<UnitResult> take(fleet::Server server);
   /// Returns the unit of a request that did not reach the server.
   void giveBack(const fleet::Server& server);
   /// Records the head of an answer.
   /// @param seen versionOf() when the request was sent.
-  void noteHead(const fleet::Server& server, LimitVersion seen, const NamedLimit& named);
+  void recordAnswerHead(const fleet::Server& server, LimitVersion seen, const NamedLimit& named);
   /// Informs all other nodes of a server that announced to this node that it is leaving; the pool
   /// already knows.
-  void tellLeaving() { notices_.tellLeaving(); }
+  void announceLeaving() { notices_.announceLeaving(); }
   /// Serves other nodes at kReportPath and kUnitPath.
   boost::asio::awaitable<void> handle(http::Request& request, http::ResponseWriter& writer);
   /// Serves operators the limits in force, and the servers that are leaving or in backoff.
--- a/src/service_rollout/judge.cc
+++ b/src/service_rollout/judge.cc
@@ -115,7 +115,7 @@
   Samples total{};
   for (const auto& [route, increment] : computeIncrements(sum.routes, now)) {
     updateScores(routes_[route], increment, now);
-    for (std::size_t track = 0; track < kTracks; ++track) {
+    for (std::size_t track = 0; track < kTrackCount; ++track) {
       total[track] += increment[track];
     }
   }
@@ -155,7 +155,7 @@
   }
   for (const auto& [route, samples] : latest) {
     const Samples& before = last_[route];
-    for (std::size_t track = 0; track < kTracks; ++track) {
+    for (std::size_t track = 0; track < kTrackCount; ++track) {
       increment[route][track] =
           incrementOf(samples[track], before[track], lostAnswers_[route][track], now);
     }
@@ -190,7 +190,7 @@
 void Judge::updateScores(Scope& scope, const Samples& increment, MonotonicTime now) {
   recordStableAnswers(scope, increment[kStable], now);
   const RouteSample& candidate = increment[kCandidate];
-  for (std::size_t track = 0; track < kTracks; ++track) {
+  for (std::size_t track = 0; track < kTrackCount; ++track) {
     scope.seen[track] += increment[track];
   }
   if (candidate.answered == 0) {
--- a/src/service_rollout/judge.h
+++ b/src/service_rollout/judge.h
@@ -61,7 +61,7 @@
   std::string explain() const;
 
  private:
-  using Samples = std::array<RouteSample, kTracks>;
+  using Samples = std::array<RouteSample, kTrackCount>;
   static constexpr std::size_t kTests = 6;
   static constexpr std::size_t kRecentWindows = 3;
 
@@ -130,7 +130,7 @@
   JudgeSettings settings_;
   Verdict verdict_ = Verdict::kUndecided;
   std::map<RouteKey, Samples> last_;
-  std::map<RouteKey, std::array<LostAnswers, kTracks>> lostAnswers_;
+  std::map<RouteKey, std::array<LostAnswers, kTrackCount>> lostAnswers_;
   std::map<RouteKey, Scope> routes_;
   Scope all_;
   /// Values at the rejection.
--- a/src/service_rollout/observations.cc
+++ b/src/service_rollout/observations.cc
@@ -44,8 +44,8 @@
   reached += other.reached;
   exposed += other.exposed;
   for (const auto& [route, samples] : other.routes) {
-    std::array<RouteSample, kTracks>& sum = routes[route];
-    for (std::size_t track = 0; track < kTracks; ++track) {
+    std::array<RouteSample, kTrackCount>& sum = routes[route];
+    for (std::size_t track = 0; track < kTrackCount; ++track) {
       sum[track] += samples[track];
     }
   }
--- a/src/service_rollout/observations.h
+++ b/src/service_rollout/observations.h
@@ -14,7 +14,7 @@
 
 namespace calicodrift::service_rollout {
 
-using fleet::kTracks;
+using fleet::kTrackCount;
 using fleet::Track;
 
 /// Compact identifier of a route in messages between nodes: the hash of its name.
@@ -52,7 +52,7 @@
   /// Requests sent to either version, and to the candidate; retries are included.
   std::uint64_t reached = 0;
   std::uint64_t exposed = 0;
-  std::map<RouteKey, std::array<RouteSample, kTracks>> routes;
+  std::map<RouteKey, std::array<RouteSample, kTrackCount>> routes;
 
   /// Adds other nodes' observations of the same order.
   OrderObservations& operator+=(const OrderObservations& other);
--- a/src/weights/weights_loader.cc
+++ b/src/weights/weights_loader.cc
@@ -110,7 +110,7 @@
 }
 
 Milliseconds WeightsLoader::settleTime() const {
-  return std::min(settings_.settleTime + pool_.longestQueue(), settings_.longestSettleTime);
+  return std::min(settings_.settleTime + pool_.maxQueueWait(), settings_.longestSettleTime);
 }
 
 bool WeightsLoader::needed() const {
@@ -242,7 +242,7 @@
   const Milliseconds settle = settleTime();
   std::vector<fleet::Server> servers;
   for (fleet::Server& server : pool_.servers()) {
-    const bool atRest = pool_.rests().excludedUntil(server.id, now).has_value();
+    const bool atRest = pool_.backoffs().excludedUntil(server.id, now).has_value();
     if (!atRest && !rounds_.isOrdered(server.id) && isDue(server, at, settle)) {
       servers.push_back(std::move(server));
     }
--- a/tests/fleet/server_notices_test.cc
+++ b/tests/fleet/server_notices_test.cc
@@ -45,8 +45,8 @@
   ServerPool pool = makePool();
   const Server server = makeServer("a", 5);
   pool.apply(server, kStart);
-  BOOST_TEST(pool.noteLeaving(keyOf(server), kStart));
-  BOOST_TEST(!pool.noteLeaving(keyOf(server), kStart));
+  BOOST_TEST(pool.recordLeaving(keyOf(server), kStart));
+  BOOST_TEST(!pool.recordLeaving(keyOf(server), kStart));
   BOOST_TEST(!isCandidate(pool, "a", kStart));
   BOOST_TEST(pool.find(server.id)->draining);
   pool.apply(server, kStart + seconds(1));
@@ -61,7 +61,7 @@
 BOOST_AUTO_TEST_CASE(leavingNotedBeforeTheEntryApplies) {
   ServerPool pool = makePool();
   const Server server = makeServer("a", 5);
-  BOOST_TEST(pool.noteLeaving(keyOf(server), kStart));
+  BOOST_TEST(pool.recordLeaving(keyOf(server), kStart));
   pool.apply(server, kStart);
   BOOST_TEST(!isCandidate(pool, "a", kStart));
 }
@@ -69,11 +69,11 @@
 BOOST_AUTO_TEST_CASE(laterRunIsNotLeaving) {
   ServerPool pool = makePool();
   pool.apply(makeServer("a", 5), kStart);
-  pool.noteLeaving(keyOf(makeServer("a", 5)), kStart);
+  pool.recordLeaving(keyOf(makeServer("a", 5)), kStart);
   pool.apply(makeServer("a", 6), kStart);
   BOOST_TEST(isCandidate(pool, "a", kStart));
   // A notice of an earlier run does not apply to it.
-  pool.noteLeaving(keyOf(makeServer("a", 4)), kStart);
+  pool.recordLeaving(keyOf(makeServer("a", 4)), kStart);
   BOOST_TEST(isCandidate(pool, "a", kStart));
 }
 
@@ -103,15 +103,15 @@
 BOOST_AUTO_TEST_CASE(backoffSurvivesEntriesReloadsAndALaterRun) {
   ServerPool pool = makePool();
   pool.apply(makeServer("a", 5), kStart);
-  pool.noteRest(BackendId("a"), kStart + seconds(3), kStart);
-  pool.noteRest(BackendId("a"), kStart + seconds(2), kStart);
+  pool.recordBackoff(BackendId("a"), kStart + seconds(3), kStart);
+  pool.recordBackoff(BackendId("a"), kStart + seconds(2), kStart);
   BOOST_TEST(!isCandidate(pool, "a", kStart));
   pool.apply(makeServer("a", 5, 2), kStart + seconds(1));
   BOOST_TEST(!isCandidate(pool, "a", kStart + seconds(1)));
   pool.remove(BackendId("a"));
   pool.apply(makeServer("a", 6), kStart + seconds(2));
   BOOST_TEST(!isCandidate(pool, "a", kStart + seconds(2)));
-  pool.noteAnswered(BackendId("a"), kStart + seconds(1), kStart + seconds(2));
+  pool.recordAnswered(BackendId("a"), kStart + seconds(1), kStart + seconds(2));
   BOOST_TEST(!isCandidate(pool, "a", kStart + seconds(3) - Milliseconds(1)));
   BOOST_TEST(isCandidate(pool, "a", kStart + seconds(3)));
 }
@@ -120,25 +120,25 @@
   ServerPool pool = makePool();
   const BackendId id("a");
   pool.apply(makeServer("a", 5), kStart);
-  pool.noteRest(id, kStart + seconds(1), kStart);
+  pool.recordBackoff(id, kStart + seconds(1), kStart);
   const MonotonicTime end = kStart + seconds(1);
   BOOST_TEST(isCandidate(pool, "a", end));
-  pool.noteSent(id, end);
+  pool.recordSent(id, end);
   BOOST_TEST(!isCandidate(pool, "a", end + Milliseconds(1)));
   // An answer to a call sent before the end of the backoff does not end the trial.
-  pool.noteAnswered(id, end - Milliseconds(1), end + Milliseconds(2));
+  pool.recordAnswered(id, end - Milliseconds(1), end + Milliseconds(2));
   BOOST_TEST(!isCandidate(pool, "a", end + Milliseconds(2)));
-  pool.noteAnswered(id, end, end + Milliseconds(3));
+  pool.recordAnswered(id, end, end + Milliseconds(3));
   BOOST_TEST(isCandidate(pool, "a", end + Milliseconds(3)));
-  pool.noteSent(id, end + Milliseconds(4));
+  pool.recordSent(id, end + Milliseconds(4));
   BOOST_TEST(isCandidate(pool, "a", end + Milliseconds(4)));
 }
 
 BOOST_AUTO_TEST_CASE(trialWithoutAnAnswerTimesOut) {
   ServerPool pool = makePool();
   pool.apply(makeServer("a", 5), kStart);
-  pool.noteRest(BackendId("a"), kStart + seconds(1), kStart);
-  pool.noteSent(BackendId("a"), kStart + seconds(1));
+  pool.recordBackoff(BackendId("a"), kStart + seconds(1), kStart);
+  pool.recordSent(BackendId("a"), kStart + seconds(1));
   const MonotonicTime end = kStart + seconds(1) + ServerBackoffs::kTrialTimeout;
   BOOST_TEST(!isCandidate(pool, "a", end - Milliseconds(1)));
   BOOST_TEST(isCandidate(pool, "a", end));
@@ -148,13 +148,13 @@
   ServerPool pool = makePool();
   pool.apply(makeServer("a", 5), kStart);
   pool.apply(makeServer("b", 5), kStart);
-  BOOST_TEST(pool.restingOf("llm", kModel, kStart).count == 0U);
-  pool.noteRest(BackendId("a"), kStart + seconds(2), kStart);
-  pool.noteRest(BackendId("b"), kStart + seconds(1), kStart);
-  BOOST_TEST((pool.restingOf("llm", kModel, kStart).firstEnd == kStart + seconds(1)));
-  pool.noteLeaving(keyOf(makeServer("b", 5)), kStart);
-  BOOST_TEST((pool.restingOf("llm", kModel, kStart).firstEnd == kStart + seconds(2)));
-  BOOST_TEST(!pool.restingOf("other", kModel, kStart).firstEnd.has_value());
+  BOOST_TEST(pool.backedOffServers("llm", kModel, kStart).count == 0U);
+  pool.recordBackoff(BackendId("a"), kStart + seconds(2), kStart);
+  pool.recordBackoff(BackendId("b"), kStart + seconds(1), kStart);
+  BOOST_TEST((pool.backedOffServers("llm", kModel, kStart).firstEnd == kStart + seconds(1)));
+  pool.recordLeaving(keyOf(makeServer("b", 5)), kStart);
+  BOOST_TEST((pool.backedOffServers("llm", kModel, kStart).firstEnd == kStart + seconds(2)));
+  BOOST_TEST(!pool.backedOffServers("other", kModel, kStart).firstEnd.has_value());
 }
 
 /// Random sequences of entries, lapses, reloads, restarts, refusals, pauses, and answers in any
@@ -190,24 +190,24 @@
           break;
         }
         case 3:
-          pool.noteLeaving(keyOf(makeServer(id, starts[id])), now);
+          pool.recordLeaving(keyOf(makeServer(id, starts[id])), now);
           left.insert({id, starts[id]});
           break;
         case 4: {
           const MonotonicTime until = now + Milliseconds(1 + draw(3000));
-          pool.noteRest(BackendId(id), until, now);
+          pool.recordBackoff(BackendId(id), until, now);
           restUntil[id] = std::max(restUntil[id], until);
           break;
         }
         case 5:
-          pool.noteAnswered(BackendId(id), now - Milliseconds(draw(3000)), now);
+          pool.recordAnswered(BackendId(id), now - Milliseconds(draw(3000)), now);
           break;
         case 6:
           pool.markUnreachable(BackendId(id), now);
           pool.probeSucceeded(BackendId(id), now);
           break;
         default:
-          pool.forgetNotices(Milliseconds(draw(2) * 1000), now);
+          pool.expireNotices(Milliseconds(draw(2) * 1000), now);
           break;
       }
       for (const auto& [name, started] : listed) {
--- a/tests/fleet/server_pool_test.cc
+++ b/tests/fleet/server_pool_test.cc
@@ -72,7 +72,7 @@
 
 BOOST_AUTO_TEST_CASE(serversBelowTheMinWeightsAreNoCandidates) {
   pool.applyListing({makeServer("a", 1), makeServer("b", 2)}, kStart);
-  pool.setLeastWeights(kModel, WeightsVersion(2), kStart);
+  pool.setMinWeights(kModel, WeightsVersion(2), kStart);
   BOOST_TEST(usable() == 1U);
   pool.applyWeights(BackendId("a"), kModel, WeightsVersion(2), kStart);
   BOOST_TEST(usable() == 2U);
@@ -95,7 +95,7 @@
   settings.zone = ZoneId("z1");
   settings.regions = {{settings.zone, "r1"}, {ZoneId("z2"), "r2"}};
   Distances distances(settings);
-  pool.useDistances(distances);
+  pool.setDistances(distances);
   Server distant = makeServer("a", 1);
   distant.zone = ZoneId("z2");
   pool.applyListing({distant}, kStart);
@@ -140,7 +140,7 @@
 
 BOOST_AUTO_TEST_CASE(peerLoadIsAddedToOwnLoad) {
   pool.applyListing({makeServer("a", 1), makeServer("b", 1)}, kStart);
-  pool.setMemory("llm", 5000, kStart);
+  pool.setMemoryTokens("llm", 5000, kStart);
   pool.addLoad(BackendId("a"), {1000, 800}, kStart);
   const ServerLoads own = pool.ownLoads();
   BOOST_TEST(own.size() == 2U);
@@ -227,18 +227,18 @@
   Server a = makeServer("a", 1);
   a.slots = 2;
   pool.applyListing({a, makeServer("b", 1)}, kStart);
-  BOOST_TEST(pool.longestQueue() == Milliseconds(0));
+  BOOST_TEST(pool.maxQueueWait() == Milliseconds(0));
   // The prefill rate is 40 tokens per millisecond.
   pool.addLoad(BackendId("b"), {8000, 8000}, kStart);
-  BOOST_TEST(pool.longestQueue() >= Milliseconds(200));
-  BOOST_TEST(pool.longestQueue() < Milliseconds(300));
+  BOOST_TEST(pool.maxQueueWait() >= Milliseconds(200));
+  BOOST_TEST(pool.maxQueueWait() < Milliseconds(300));
   ServerLoads peers = pool.ownLoads();
   for (auto& [key, load] : peers) {
     load = load.requests == 0 ? ServerLoad{10, 0, 0, 0} : ServerLoad{};
   }
   pool.setPeerLoads(peers, kStart);
   // Ten requests wait for the two slots of the other server.
-  BOOST_TEST(pool.longestQueue() > Milliseconds(1000));
+  BOOST_TEST(pool.maxQueueWait() > Milliseconds(1000));
 }
 
 BOOST_AUTO_TEST_CASE(prefillRateIsLearntPerServer) {
--- a/tests/fleet/server_runs_test.cc
+++ b/tests/fleet/server_runs_test.cc
@@ -85,12 +85,12 @@
   Server later = makeRun(kSecond);
   later.version = SoftwareVersion("v2");
   pool.apply(later, kStart);
-  BOOST_TEST(pool.inFlightOf("llm", version) == 2U);
-  BOOST_TEST(pool.inFlightOf("llm", later.version) == 0U);
+  BOOST_TEST(pool.countInFlight("llm", version) == 2U);
+  BOOST_TEST(pool.countInFlight("llm", later.version) == 0U);
   pool.removeLoad(kId, loadOn(kFirst), kStart);
-  BOOST_TEST(pool.inFlightOf("llm", version) == 1U);
+  BOOST_TEST(pool.countInFlight("llm", version) == 1U);
   pool.removeLoad(kId, loadOn(kFirst), kStart);
-  BOOST_TEST(pool.inFlightOf("llm", version) == 0U);
+  BOOST_TEST(pool.countInFlight("llm", version) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(laterStartEndsEjectionPauseAndUnreachability) {
@@ -113,10 +113,10 @@
 BOOST_AUTO_TEST_CASE(laterStartWarmsUpAgain) {
   pool.apply(makeRun(kFirst), kStart);
   const MonotonicTime warm = kStart + Milliseconds(500);
-  BOOST_TEST(pool.tellsSpeed(kId, warm));
+  BOOST_TEST(pool.isSpeedSample(kId, warm));
   pool.apply(makeRun(kSecond), warm);
-  BOOST_TEST(!pool.tellsSpeed(kId, warm));
-  BOOST_TEST(pool.tellsSpeed(kId, warm + Milliseconds(500)));
+  BOOST_TEST(!pool.isSpeedSample(kId, warm));
+  BOOST_TEST(pool.isSpeedSample(kId, warm + Milliseconds(500)));
 }
 
 BOOST_AUTO_TEST_CASE(laterStartIsNotAReloadAndMayBringOlderWeights) {
--- a/tests/fleet/server_versions_test.cc
+++ b/tests/fleet/server_versions_test.cc
@@ -91,7 +91,7 @@
   pool.pause(id, kStart + Milliseconds(10), kStart);
   pool.markUnreachable(id, kStart);
   pool.probeSucceeded(id, kStart + Milliseconds(20));
-  pool.setLeastWeights(kModel, WeightsVersion(1), kStart);
+  pool.setMinWeights(kModel, WeightsVersion(1), kStart);
   BOOST_TEST(usable(Track::kStable, kStart + Milliseconds(30)) == 1U);
   BOOST_TEST(usable(Track::kCandidate, kStart + Milliseconds(30)) == 1U);
 }
@@ -174,15 +174,15 @@
   // A repeated listing does not extend the warm-up.
   pool.apply(warming, kStart + Milliseconds(300));
   const BackendId id("w");
-  BOOST_TEST(!pool.tellsSpeed(id, kStart + Milliseconds(499)));
-  BOOST_TEST(pool.tellsSpeed(id, kStart + Milliseconds(500)));
+  BOOST_TEST(!pool.isSpeedSample(id, kStart + Milliseconds(499)));
+  BOOST_TEST(pool.isSpeedSample(id, kStart + Milliseconds(500)));
   const MonotonicTime loads = kStart + Milliseconds(2000);
   pool.announceLoads({{id, WeightsVersion(2)}}, loads);
-  BOOST_TEST(!pool.tellsSpeed(id, loads));
+  BOOST_TEST(!pool.isSpeedSample(id, loads));
   pool.applyWeights(id, kModel, WeightsVersion(2), loads);
-  BOOST_TEST(!pool.tellsSpeed(id, loads + Milliseconds(500)));
-  BOOST_TEST(pool.tellsSpeed(id, loads + Milliseconds(1500)));
-  BOOST_TEST(!pool.tellsSpeed(BackendId("gone"), loads));
+  BOOST_TEST(!pool.isSpeedSample(id, loads + Milliseconds(500)));
+  BOOST_TEST(pool.isSpeedSample(id, loads + Milliseconds(1500)));
+  BOOST_TEST(!pool.isSpeedSample(BackendId("gone"), loads));
 }
 
 BOOST_AUTO_TEST_CASE(serversAndRequestsAreCountedByVersion) {
@@ -194,8 +194,8 @@
   pool.markUnreachable(BackendId("a0"), kStart);
   BOOST_TEST(pool.listedVersions().at("llm").at(kOld) == 2U);
   BOOST_TEST(pool.listedVersions().at("llm").at(kNew) == 2U);
-  BOOST_TEST(pool.usableOf("llm", kOld, kStart) == 1U);
-  BOOST_TEST(pool.usableOf("llm", kNew, kStart) == 2U);
+  BOOST_TEST(pool.countUsable("llm", kOld, kStart) == 1U);
+  BOOST_TEST(pool.countUsable("llm", kNew, kStart) == 2U);
   // Load on draining servers counts too, including that of other nodes.
   pool.addLoad(BackendId("a2"), {10, 0}, kStart);
   pool.addLoad(BackendId("b0"), {10, 0}, kStart);
@@ -204,24 +204,24 @@
     peers[key].requests = 2 * load.requests;
   }
   pool.setPeerLoads(peers, kStart);
-  BOOST_TEST(pool.inFlightOf("llm", kOld) == 3U);
-  BOOST_TEST(pool.inFlightOf("llm", kNew) == 3U);
-  BOOST_TEST(pool.inFlightOf("other", kOld) == 0U);
+  BOOST_TEST(pool.countInFlight("llm", kOld) == 3U);
+  BOOST_TEST(pool.countInFlight("llm", kNew) == 3U);
+  BOOST_TEST(pool.countInFlight("other", kOld) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(serverUnreachableFromAnyNodeIsNotReachedByAll) {
   list("a", kOld, 2);
-  BOOST_TEST(pool.reachedByAll(BackendId("a0")));
+  BOOST_TEST(pool.isReachableFromAllNodes(BackendId("a0")));
   ServerLoads peers = pool.ownLoads();
   for (auto& [key, load] : peers) {
     load.unreachableFrom = 1;
   }
   pool.setPeerLoads(peers, kStart);
-  BOOST_TEST(!pool.reachedByAll(BackendId("a0")));
+  BOOST_TEST(!pool.isReachableFromAllNodes(BackendId("a0")));
   pool.setPeerLoads({}, kStart);
   pool.markUnreachable(BackendId("a1"), kStart);
-  BOOST_TEST(!pool.reachedByAll(BackendId("a1")));
-  BOOST_TEST(!pool.reachedByAll(BackendId("gone")));
+  BOOST_TEST(!pool.isReachableFromAllNodes(BackendId("a1")));
+  BOOST_TEST(!pool.isReachableFromAllNodes(BackendId("gone")));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/forward/server_calls_test.cc
+++ b/tests/forward/server_calls_test.cc
@@ -64,7 +64,7 @@
   // The call has begun to connect, and the notice arrives before the connection is made.
   context.restart();
   context.poll_one();
-  pool.noteLeaving(fleet::keyOf(server), monotonicNow());
+  pool.recordLeaving(fleet::keyOf(server), monotonicNow());
   finish();
   BOOST_TEST(wasWithdrawn());
   BOOST_TEST(requestsReceived() == 0U);
@@ -74,7 +74,7 @@
   begin(CallPurpose::kQuery);
   context.restart();
   context.poll_one();
-  pool.noteRest(server.id, monotonicNow() + std::chrono::seconds(1), monotonicNow());
+  pool.recordBackoff(server.id, monotonicNow() + std::chrono::seconds(1), monotonicNow());
   finish();
   BOOST_TEST(wasWithdrawn());
   BOOST_TEST(requestsReceived() == 0U);
--- a/tests/quarantine/crash_ledger_test.cc
+++ b/tests/quarantine/crash_ledger_test.cc
@@ -23,7 +23,7 @@
                      std::uint64_t last, MonotonicTime& now) {
   for (std::uint64_t server = first; server <= last; ++server) {
     now += kApart;
-    ledger.noteEnded(request(number), run(server), kShort, now);
+    ledger.recordCrash(request(number), run(server), kShort, now);
   }
 }
 
@@ -44,17 +44,17 @@
 BOOST_AUTO_TEST_CASE(serverRunsCountRatherThanAttempts) {
   CrashLedger ledger;
   for (int attempt = 0; attempt < 5; ++attempt) {
-    ledger.noteEnded(request(1), run(1), kShort, kStart + attempt * kApart);
+    ledger.recordCrash(request(1), run(1), kShort, kStart + attempt * kApart);
   }
   BOOST_TEST(ledger.crashCount(request(1)) == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(bystanderIsClearedOnceTheCauseIsKnown) {
   CrashLedger ledger;
-  ledger.noteEnded(request(1), run(1), kShort, kStart);
-  ledger.noteEnded(request(2), run(1), kShort, kStart);
+  ledger.recordCrash(request(1), run(1), kShort, kStart);
+  ledger.recordCrash(request(2), run(1), kShort, kStart);
   BOOST_TEST((ledger.standingOf(request(2)) == Standing::kSuspect));
-  ledger.noteEnded(request(1), run(2), kShort, kStart + kApart);
+  ledger.recordCrash(request(1), run(2), kShort, kStart + kApart);
   BOOST_TEST((ledger.standingOf(request(2)) == Standing::kClear));
   BOOST_TEST(ledger.crashCount(request(1)) == 2U);
 }
@@ -63,8 +63,8 @@
   CrashLedger ledger;
   for (std::uint64_t server = 1; server <= CrashLedger::kCrashesToBar; ++server) {
     const MonotonicTime now = kStart + server * kApart;
-    ledger.noteEnded(request(1), run(server), kShort, now);
-    ledger.noteEnded(request(2), run(server), 10 * kShort, now);
+    ledger.recordCrash(request(1), run(server), kShort, now);
+    ledger.recordCrash(request(2), run(server), 10 * kShort, now);
   }
   BOOST_TEST((ledger.standingOf(request(1)) == Standing::kBarred));
   BOOST_TEST((ledger.standingOf(request(2)) == Standing::kClear));
@@ -77,7 +77,7 @@
     now += kApart;
     for (std::uint64_t server = 0; server < 6; ++server) {
       const std::uint64_t number = 10 * static_cast<std::uint64_t>(time) + server;
-      ledger.noteEnded(request(server == 0 ? 1 : number + 100), run(number), kShort, now);
+      ledger.recordCrash(request(server == 0 ? 1 : number + 100), run(number), kShort, now);
     }
   }
   BOOST_TEST((ledger.standingOf(request(1)) != Standing::kBarred));
@@ -89,7 +89,7 @@
   for (std::uint64_t round = 0; round < CrashLedger::kCrashesToBar; ++round) {
     now += Milliseconds(300);
     for (std::uint64_t number = 1; number <= 5; ++number) {
-      ledger.noteEnded(request(number), run(10 * round + number), kShort, now);
+      ledger.recordCrash(request(number), run(10 * round + number), kShort, now);
     }
   }
   for (std::uint64_t number = 1; number <= 5; ++number) {
@@ -104,7 +104,7 @@
   BOOST_TEST(ledger.clear(request(1)));
   BOOST_TEST((ledger.standingOf(request(1)) == Standing::kClear));
   // Repeated reports of earlier crashes no longer count; later crashes do.
-  BOOST_TEST(!ledger.noteEnded(request(1), run(2), kShort, now));
+  BOOST_TEST(!ledger.recordCrash(request(1), run(2), kShort, now));
   crashSeparately(ledger, 1, 3, 3, now);
   BOOST_TEST(ledger.crashCount(request(1)) == 1U);
 }
@@ -114,7 +114,7 @@
   CrashLedger first;
   crashSeparately(first, 1, 1, 3, now);
   CrashLedger second;
-  second.noteEnded(request(1), run(4), kShort, kStart);
+  second.recordCrash(request(1), run(4), kShort, kStart);
   const std::vector<Suspect> told = first.changedSince(0);
   for (int time = 0; time < 2; ++time) {
     for (const Suspect& suspect : told) {
@@ -134,7 +134,7 @@
   crashSeparately(ledger, 1, 1, 3, now);
   for (std::uint64_t number = 100; number < 400; ++number) {
     now += kApart;
-    ledger.noteEnded(request(number), run(number), kShort, now);
+    ledger.recordCrash(request(number), run(number), kShort, now);
   }
   BOOST_TEST(ledger.size() == 16U);
   BOOST_TEST(ledger.evicted() == 285U);
--- a/tests/quarantine/drawn_schedules_test.cc
+++ b/tests/quarantine/drawn_schedules_test.cc
@@ -194,7 +194,7 @@
     for (const auto& [number, until] : server.running) {
       trials_.end(fingerprintFor(number), TrialToken(number));
       const auto underWay = std::chrono::floor<Milliseconds>(now_ - server.sentAt.at(number));
-      ledger_.noteEnded(fingerprintFor(number), server.run, underWay, now_);
+      ledger_.recordCrash(fingerprintFor(number), server.run, underWay, now_);
       // Half of them may be retried, and half of the others' callers send them again.
       if (bystanders_.contains(number) && chance(0.75)) {
         resends_.push_back(number);
--- a/tests/server_limits/notice_exchange_test.cc
+++ b/tests/server_limits/notice_exchange_test.cc
@@ -94,8 +94,8 @@
   /// it.
   Milliseconds timeUntilAllKnow(std::size_t first) {
     const MonotonicTime begin = monotonicNow();
-    nodes[first]->pool.noteLeaving(kRun, begin);
-    nodes[first]->exchange->tellLeaving();
+    nodes[first]->pool.recordLeaving(kRun, begin);
+    nodes[first]->exchange->announceLeaving();
     const auto allKnow = [this] {
       return std::all_of(nodes.begin(), nodes.end(),
                          [](const auto& node) { return node->knows(); });
@@ -131,7 +131,7 @@
 /// A starting node asks its parent for the full state.
 BOOST_AUTO_TEST_CASE(newNeighbourReceivesEverything) {
   NodeTree tree(4, 20);
-  tree.nodes[0]->pool.noteLeaving(kRun, monotonicNow());
+  tree.nodes[0]->pool.recordLeaving(kRun, monotonicNow());
   asio::co_spawn(tree.context, tree.nodes[2]->exchange->update(), asio::detached);
   tree.context.run_for(Milliseconds(300));
   BOOST_TEST(tree.nodes[2]->knows());
--- a/tests/service_rollout/judge_table_test.cc
+++ b/tests/service_rollout/judge_table_test.cc
@@ -35,7 +35,7 @@
   }
 
  private:
-  using Samples = std::array<RouteSample, kTracks>;
+  using Samples = std::array<RouteSample, kTrackCount>;
   static constexpr std::size_t kTicks = 50;
   /// As strict as the judge's threshold, e^-12.
   static constexpr double kMinProbability = 6e-6;
