--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -85,7 +85,7 @@
       relay_(context.get_executor(), ports_.store, client_,
              relaySettings(settings_, ports_.schema)),
       exchange_(exchangeContext(), exchangeSettings(settings_)),
-      otherRoots_(ports_.store, otherGroups(settings_)),
+      remoteGroupRoots_(ports_.store, otherGroups(settings_)),
       quotaMetrics_(registry_),
       quota_(quotaContext(), quotaBounds(settings_), quotaMetrics_, hashBytes(processName_)),
       serverLimitMetrics_(registry_),
@@ -227,7 +227,7 @@
                                   [this] { return relay_.relay(); },
                                   [this] { return relay_.roots(); }};
   if (groupsOf(settings_) > 1) {
-    context.lenders = [this] { return otherRoots_.read(); };
+    context.lenders = [this] { return remoteGroupRoots_.read(); };
     context.viewAge = [this] {
       return std::chrono::ceil<Milliseconds>(monotonicNow() - relay_.store().provenAt());
     };
@@ -236,7 +236,7 @@
   return context;
 }
 
-relay::TreePlace GatewayNode::treePlace() {
+relay::TreePosition GatewayNode::treePosition() {
   return {settings_.relayListen,
           [this] { return relay_.relay(); },
           [this] { return relay_.children(); },
@@ -246,10 +246,10 @@
 }
 
 quarantine::QuarantineContext GatewayNode::quarantineContext() {
-  quarantine::QuarantineContext context{context_.get_executor(), client_, treePlace(),
+  quarantine::QuarantineContext context{context_.get_executor(), client_, treePosition(),
                                         [this] { return relay_.readsStore(); }};
   if (groupsOf(settings_) > 1) {
-    context.otherTrees = [this] { return otherRoots_.read(); };
+    context.otherTrees = [this] { return remoteGroupRoots_.read(); };
   }
   return context;
 }
@@ -258,7 +258,7 @@
   server_limits::ServerLimitContext context{
       context_.get_executor(),
       client_,
-      treePlace(),
+      treePosition(),
       [this] { return relay_.newestRoots(); },
       [this] { return relay_.mayGrant(); },
       [this] { return relay_.settledAt(); },
@@ -268,7 +268,9 @@
       otherGroups(settings_),
       settings_.relayGroup.empty() ? settings_.zone : settings_.relayGroup};
   context.trees.push_back(context.ownTree);
-  context.rootsOfTree = [this](std::string tree) { return otherRoots_.readOf(std::move(tree)); };
+  context.rootsOfTree = [this](std::string tree) {
+    return remoteGroupRoots_.readGroup(std::move(tree));
+  };
   return context;
 }
 
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -20,12 +20,12 @@
 #include "http/path_handlers.h"
 #include "http/server.h"
 #include "lease/lease_keeper.h"
-#include "lease/shared_store_lease.h"
+#include "lease/object_store_lease_store.h"
 #include "orders/order_metrics.h"
 #include "quarantine/quarantine_node.h"
 #include "quota/quota_node.h"
-#include "relay/other_roots.h"
 #include "relay/relay_node.h"
+#include "relay/remote_group_roots.h"
 #include "server_limits/server_limit_node.h"
 #include "weights/weights_loader.h"
 #include "weights/weights_targets.h"
@@ -60,7 +60,7 @@
   exchange::NodeExchangeContext exchangeContext();
   ServiceRolloutsContext rolloutsContext();
   quota::QuotaNodeContext quotaContext();
-  relay::TreePlace treePlace();
+  relay::TreePosition treePosition();
   quarantine::QuarantineContext quarantineContext();
   server_limits::ServerLimitContext serverLimitContext();
   /// Asks a server for its health, for what the head of its answer says.
@@ -93,7 +93,7 @@
   relay::RelayNode relay_;
   exchange::NodeExchange exchange_;
   /// Of the other regions' trees.
-  relay::OtherRoots otherRoots_;
+  relay::RemoteGroupRoots remoteGroupRoots_;
   quota::QuotaMetrics quotaMetrics_;
   quota::QuotaNode quota_;
   server_limits::ServerLimitMetrics serverLimitMetrics_;
@@ -105,7 +105,7 @@
   weights::WeightsTargets targets_;
   StoreViews views_;
   WeightsFloorRecorder weightsFloor_;
-  lease::SharedStoreLease leaseStore_;
+  lease::ObjectStoreLeaseStore leaseStore_;
   service_rollout::RolloutMetrics rolloutMetrics_;
   ServiceRollouts serviceRollouts_;
   forward::RequestGate gate_;
--- a/src/gateway/module_settings.cc
+++ b/src/gateway/module_settings.cc
@@ -61,7 +61,7 @@
   relay.zone = ZoneId(settings.zone);
   relay.group = settings.relayGroup.empty() ? settings.zone : settings.relayGroup;
   relay.endpoint = settings.relayListen;
-  relay.maxFollowers = static_cast<std::size_t>(settings.relayMaxFollowers);
+  relay.maxChildren = static_cast<std::size_t>(settings.relayMaxFollowers);
   relay.proofAge = settings.relayProofAge;
   relay.readAges = {
       {schema.configurationKind(), settings.configReadAge},
--- a/src/gateway/service_rollouts.cc
+++ b/src/gateway/service_rollouts.cc
@@ -71,8 +71,8 @@
   if (!enabled_) {
     return;
   }
-  context_.views.watchSeldom(context_.schema.rolloutKind());
-  context_.views.watchSeldom(std::string(service_rollout::kRecordKind));
+  context_.views.excludeFromProvenAt(context_.schema.rolloutKind());
+  context_.views.excludeFromProvenAt(std::string(service_rollout::kRecordKind));
   orderWatcher_.start();
   recordWatcher_.start();
   lease_.start();
--- a/src/gateway/store_views.cc
+++ b/src/gateway/store_views.cc
@@ -171,7 +171,7 @@
   Result<NamedVersion> read = schema_.readWeights(object);
   if (!read) {
     unreadable_.note(schema_.weightsKind(), object, read.error());
-    readableUntil_.try_emplace(object.name, weightsWatcher_.provenBefore());
+    readableUntil_.try_emplace(object.name, weightsWatcher_.previousProvenAt());
     return;
   }
   unreadable_.clear(schema_.weightsKind(), object.name);
@@ -199,7 +199,7 @@
 MonotonicTime StoreViews::provenUntil(const std::string& object) const {
   // Nothing was read of it meanwhile, however new the view was.
   const auto until = readableUntil_.find(object);
-  return until == readableUntil_.end() ? weightsWatcher_.provenBefore() : until->second;
+  return until == readableUntil_.end() ? weightsWatcher_.previousProvenAt() : until->second;
 }
 
 void StoreViews::noteNaming(const fleet::LoadedModel& named, bool inTime, MonotonicTime provenAt) {
--- a/src/lease/shared_store_lease.cc
+++ b/src/lease/object_store_lease_store.cc
@@ -1,4 +1,4 @@
-#include "lease/shared_store_lease.h"
+#include "lease/object_store_lease_store.h"
 
 #include <boost/json.hpp>
 
@@ -6,7 +6,7 @@
 
 using boost::asio::awaitable;
 
-awaitable<Result<ObservedLease>> SharedStoreLease::read(std::string name) {
+awaitable<Result<ObservedLease>> ObjectStoreLeaseStore::read(std::string name) {
   Result<store::Object> object = co_await store_.get(kind_, std::move(name));
   if (!object) {
     if (object.error().kind == ErrorKind::kNotFound) {
@@ -29,8 +29,8 @@
   co_return unreadableLease(version);
 }
 
-awaitable<Result<object_api::ResourceVersion>> SharedStoreLease::write(std::string name,
-                                                                       ObservedLease lease) {
+awaitable<Result<object_api::ResourceVersion>> ObjectStoreLeaseStore::write(std::string name,
+                                                                            ObservedLease lease) {
   store::Object object;
   object.name = std::move(name);
   object.revision = store::Revision(lease.version.value());
--- a/src/lease/shared_store_lease.h
+++ b/src/lease/object_store_lease_store.h
@@ -8,14 +8,14 @@
 namespace calicodrift::lease {
 
 /// Stores leases in the shared object store, which outlives the nodes.
-class SharedStoreLease : public LeaseStore {
+class ObjectStoreLeaseStore : public LeaseStore {
  public:
   /// Called for each read of a lease that cannot be decoded.
   using UnreadableListener = std::function<void(const store::Object&, const Error&)>;
 
   /// @param kind kind of the lease objects.
-  SharedStoreLease(store::ObjectStore& store, std::string kind,
-                   UnreadableListener onUnreadable = nullptr)
+  ObjectStoreLeaseStore(store::ObjectStore& store, std::string kind,
+                        UnreadableListener onUnreadable = nullptr)
       : store_(store), kind_(std::move(kind)), onUnreadable_(std::move(onUnreadable)) {}
 
   boost::asio::awaitable<Result<ObservedLease>> read(std::string name) override;
--- a/src/quarantine/quarantine_node.cc
+++ b/src/quarantine/quarantine_node.cc
@@ -55,9 +55,9 @@
       metrics_(metrics),
       records_(store, std::move(recordKind), ledger_, metrics, std::move(onUnreadable)),
       random_(seed),
-      spreader_(newsContext()) {}
+      broadcaster_(treeBroadcastContext()) {}
 
-relay::NewsContext QuarantineNode::newsContext() {
+relay::TreeBroadcastContext QuarantineNode::treeBroadcastContext() {
   return {context_.executor, [this] { return neighbours(); }, [this] { return ledger_.version(); },
           [this](Endpoint neighbour, std::uint64_t since, Milliseconds wait, Milliseconds timeout) {
             return push(std::move(neighbour), since, wait, timeout);
@@ -79,8 +79,8 @@
     }
     settled_ = settled_ || records_.read();
     co_await findOtherTrees();
-    spreader_.forgetFormerNeighbours();
-    spreader_.tellSoon();
+    broadcaster_.pruneNeighbours();
+    broadcaster_.broadcastAsync();
     timer.expires_after(synchronized() ? kInterval : kStartInterval);
     co_await timer.async_wait(asio::use_awaitable);
   }
@@ -108,7 +108,7 @@
   }
   SuspectReport report;
   report.fresh = true;
-  const Result<SuspectReport> answer = co_await send(*parent, std::move(report), kTellTime);
+  const Result<SuspectReport> answer = co_await send(*parent, std::move(report), kBroadcastTimeout);
   if (answer) {
     merge(answer.value().suspects);
     settled_ = settled_ || answer.value().settled;
@@ -121,8 +121,8 @@
 
 std::vector<Endpoint> QuarantineNode::neighbours() const {
   const bool isRoot = context_.tree.isRoot();
-  return relay::neighboursIn(context_.tree, isRoot || parentIsOlderBuild_,
-                             isRoot ? otherTreeRoots_ : std::vector<Endpoint>());
+  return relay::treeNeighbours(context_.tree, isRoot || parentIsOlderBuild_,
+                               isRoot ? otherTreeRoots_ : std::vector<Endpoint>());
 }
 
 awaitable<bool> QuarantineNode::push(Endpoint neighbour, std::uint64_t since, Milliseconds wait,
@@ -168,12 +168,13 @@
   answer.settled = settled_;
   if (report.fresh) {
     answer.suspects = ledger_.changedSince(0);
-    spreader_.setTold(report.sender, ledger_.version());
+    broadcaster_.setAcknowledged(report.sender, ledger_.version());
   } else {
-    spreader_.onNewsFrom(report.sender, before);
+    broadcaster_.onUpdateFrom(report.sender, before);
   }
   if (ledger_.version() != before) {
-    co_await spreader_.tell(std::min(Milliseconds(report.waitMs), kTellTime), report.sender);
+    co_await broadcaster_.broadcast(std::min(Milliseconds(report.waitMs), kBroadcastTimeout),
+                                    report.sender);
   }
   co_return answer;
 }
@@ -202,7 +203,7 @@
                                             Milliseconds underWay) {
   metrics_.countCrash();
   merge(Suspect{request, {run}, {}, static_cast<std::uint32_t>(underWay.count())});
-  co_await spreader_.tell(kTellTime);
+  co_await broadcaster_.broadcast(kBroadcastTimeout);
 }
 
 void QuarantineNode::clearRequest(const RequestFingerprint& request, const std::string& reason) {
@@ -213,7 +214,7 @@
   log::write(log::Level::kInfo, "request_cleared",
              {{"request", toString(request)}, {"reason", reason}});
   logStandingChange(request, wasBarred);
-  spreader_.tellSoon();
+  broadcaster_.broadcastAsync();
 }
 
 awaitable<Result<Trial>> QuarantineNode::admit(RequestFingerprint request,
@@ -341,7 +342,7 @@
     co_return;
   }
   clearRequest(*fingerprint, "operator");
-  co_await spreader_.tell(kTellTime);
+  co_await broadcaster_.broadcast(kBroadcastTimeout);
   co_await http::respond(writer, http::jsonResponse(http::kStatusOk, listText()));
 }
 
--- a/src/quarantine/quarantine_node.h
+++ b/src/quarantine/quarantine_node.h
@@ -17,8 +17,8 @@
 #include "quarantine/metrics.h"
 #include "quarantine/records.h"
 #include "quarantine/trial_table.h"
-#include "relay/news_spreader.h"
-#include "relay/tree_place.h"
+#include "relay/tree_broadcaster.h"
+#include "relay/tree_position.h"
 
 namespace calicodrift::quarantine {
 
@@ -26,7 +26,7 @@
 struct QuarantineContext {
   boost::asio::any_io_executor executor;
   http::Client& client;
-  relay::TreePlace tree;
+  relay::TreePosition tree;
   /// Whether this node reads the store itself.
   std::function<bool()> readsStore;
   /// Returns the roots of the fleet's other relay trees; empty function if there is one tree.
@@ -64,8 +64,8 @@
 /// Each node holds the full state in its own ledger, so that a request that is not a suspect costs
 /// at most a digest and a look-up, and nothing while no server has crashed under any request. News
 /// is sent to the neighbours in the relay tree at once, and they answer after informing theirs. The
-/// node where the news originates waits for that, for kTellTime at most, before it answers its
-/// caller or retries, so that the next attempt, at whichever node, meets a fleet that knows.
+/// node where the news originates waits for that, for kBroadcastTimeout at most, before it answers
+/// its caller or retries, so that the next attempt, at whichever node, meets a fleet that knows.
 ///
 /// Attempts of suspects are admitted one at a time by the root with the lowest address. If no root
 /// answers, only requests with one run against them may proceed.
@@ -91,7 +91,7 @@
   boost::asio::awaitable<Result<Trial>> admit(RequestFingerprint request,
                                               std::vector<ServerRun> choices, Milliseconds term);
   /// Records that a server process crashed while the request was in flight there. Returns when all
-  /// reachable nodes have been informed, after kTellTime at most.
+  /// reachable nodes have been informed, after kBroadcastTimeout at most.
   /// @param underWay how long the request had been in flight.
   boost::asio::awaitable<void> recordCrash(RequestFingerprint request, ServerRun run,
                                            Milliseconds underWay);
@@ -107,7 +107,7 @@
   void showMetrics();
 
   /// Time limit for informing all nodes.
-  static constexpr Milliseconds kTellTime = relay::NewsSpreader::kTellTime;
+  static constexpr Milliseconds kBroadcastTimeout = relay::TreeBroadcaster::kBroadcastTimeout;
   /// Timeout for an answer of the admitting root.
   static constexpr Milliseconds kAdmitTimeout{120};
   /// A starting node serves without the records after this time.
@@ -123,7 +123,7 @@
   /// Requests the full state from the parent, if it is a new one.
   boost::asio::awaitable<void> synchronizeWithParent();
   std::vector<Endpoint> neighbours() const;
-  relay::NewsContext newsContext();
+  relay::TreeBroadcastContext treeBroadcastContext();
   boost::asio::awaitable<bool> push(Endpoint neighbour, std::uint64_t since, Milliseconds wait,
                                     Milliseconds timeout);
   boost::asio::awaitable<Result<SuspectReport>> send(Endpoint neighbour, SuspectReport report,
@@ -148,7 +148,7 @@
   TrialTable trials_;
   Records records_;
   std::mt19937_64 random_;
-  relay::NewsSpreader spreader_;
+  relay::TreeBroadcaster broadcaster_;
   std::vector<Endpoint> otherTreeRoots_;
   std::optional<Endpoint> synchronizedParent_;
   /// The parent is of an older build without this module.
--- a/src/relay/relay_core.cc
+++ b/src/relay/relay_core.cc
@@ -27,7 +27,7 @@
 RelayCore::RelayCore(RelaySettings settings, std::uint64_t seed)
     : settings_(std::move(settings)),
       random_(seed),
-      children_(settings_.maxFollowers, settings_.childTimeout) {}
+      children_(settings_.maxChildren, settings_.childTimeout) {}
 
 RelayAction RelayCore::next(MonotonicTime now, MonotonicTime provenAt) {
   if (isStalled(now)) {
--- a/src/relay/relay_list.cc
+++ b/src/relay/relay_list.cc
@@ -67,7 +67,7 @@
   }
   list.readable = false;
   if (onUnreadable_) {
-    onUnreadable_(object.value(), store::unreadable(store::kNoObject, "the list of relays"));
+    onUnreadable_(object.value(), store::unreadable(store::kNotAnObject, "the list of relays"));
   }
   co_return list;
 }
--- a/src/relay/relay_settings.h
+++ b/src/relay/relay_settings.h
@@ -20,7 +20,7 @@
   Endpoint endpoint;
   /// Maximum number of children per node. With 16, a tree of depth 2 holds 2 x (1 + 16 + 256)
   /// nodes.
-  std::size_t maxFollowers = 16;
+  std::size_t maxChildren = 16;
   /// Number of roots of a group's tree. With two, the children of a lost root can continue before
   /// it is replaced.
   std::size_t rootCount = 2;
--- a/src/relay/relayed_store.h
+++ b/src/relay/relayed_store.h
@@ -64,7 +64,7 @@
   MonotonicTime provenAt() const;
   /// Excludes the kind from provenAt(): it is watched with long waits while nothing changes, so the
   /// age of its view says nothing about the sources.
-  void watchSeldom(const std::string& kind) { excludedKinds_.insert(kind); }
+  void excludeFromProvenAt(const std::string& kind) { excludedKinds_.insert(kind); }
   /// Latest time at which the kind was known to be current, in whatever way it was read.
   MonotonicTime provenAt(const std::string& kind) const;
   /// Reads the changes of the kind from the store with a watch, or with a listing if the store no
--- a/src/relay/other_roots.cc
+++ b/src/relay/remote_group_roots.cc
@@ -1,4 +1,4 @@
-#include "relay/other_roots.h"
+#include "relay/remote_group_roots.h"
 
 #include <algorithm>
 
@@ -6,14 +6,15 @@
 
 using boost::asio::awaitable;
 
-OtherRoots::OtherRoots(store::ObjectStore& store, const std::vector<std::string>& groups)
+RemoteGroupRoots::RemoteGroupRoots(store::ObjectStore& store,
+                                   const std::vector<std::string>& groups)
     : groups_(groups), known_(groups.size()) {
   for (const std::string& group : groups) {
     lists_.emplace_back(store, group);
   }
 }
 
-awaitable<void> OtherRoots::refresh() {
+awaitable<void> RemoteGroupRoots::refresh() {
   const MonotonicTime now = monotonicNow();
   if (readAt_ == MonotonicTime{} || now - readAt_ >= kReadInterval) {
     readAt_ = now;
@@ -30,7 +31,7 @@
   }
 }
 
-awaitable<std::vector<Endpoint>> OtherRoots::read() {
+awaitable<std::vector<Endpoint>> RemoteGroupRoots::read() {
   co_await refresh();
   std::vector<Endpoint> all;
   for (const std::vector<Endpoint>& roots : known_) {
@@ -39,7 +40,7 @@
   co_return all;
 }
 
-awaitable<std::vector<Endpoint>> OtherRoots::readOf(std::string group) {
+awaitable<std::vector<Endpoint>> RemoteGroupRoots::readGroup(std::string group) {
   co_await refresh();
   const auto found = std::find(groups_.begin(), groups_.end(), group);
   if (found == groups_.end()) {
--- a/src/relay/news_spreader.cc
+++ b/src/relay/tree_broadcaster.cc
@@ -1,4 +1,4 @@
-#include "relay/news_spreader.h"
+#include "relay/tree_broadcaster.h"
 
 #include <algorithm>
 #include <boost/asio.hpp>
@@ -18,11 +18,11 @@
 
 }  // namespace
 
-void NewsSpreader::tellSoon() {
-  asio::co_spawn(context_.executor, tell(Milliseconds(0)), asio::detached);
+void TreeBroadcaster::broadcastAsync() {
+  asio::co_spawn(context_.executor, broadcast(Milliseconds(0)), asio::detached);
 }
 
-awaitable<void> NewsSpreader::tell(Milliseconds time, std::string except) {
+awaitable<void> TreeBroadcaster::broadcast(Milliseconds time, std::string except) {
   const std::uint64_t version = context_.version();
   const MonotonicTime end = monotonicNow() + time;
   for (;;) {
@@ -50,14 +50,14 @@
   }
 }
 
-awaitable<void> NewsSpreader::push(Endpoint neighbour, Milliseconds time) {
+awaitable<void> TreeBroadcaster::push(Endpoint neighbour, Milliseconds time) {
   const std::string name = neighbour.toString();
   const std::uint64_t version = context_.version();
   const Milliseconds wait(
       static_cast<std::int64_t>(static_cast<double>(time.count()) * kNeighbourTimeShare));
   const std::uint64_t since = peers_[name].acknowledged;
   const bool taken =
-      co_await context_.send(std::move(neighbour), since, wait, std::max(time, kTellTime));
+      co_await context_.send(std::move(neighbour), since, wait, std::max(time, kBroadcastTimeout));
   Peer& peer = peers_[name];
   peer.callInFlight = false;
   if (taken) {
@@ -70,22 +70,22 @@
   }
   // Sends changes that arrived during the call, which no caller waits for.
   if (taken && peer.acknowledged < context_.version()) {
-    tellSoon();
+    broadcastAsync();
   }
 }
 
-void NewsSpreader::onNewsFrom(const std::string& neighbour, std::uint64_t before) {
+void TreeBroadcaster::onUpdateFrom(const std::string& neighbour, std::uint64_t before) {
   Peer& peer = peers_[neighbour];
   if (peer.acknowledged == before) {
     peer.acknowledged = context_.version();
   }
 }
 
-void NewsSpreader::setTold(const std::string& neighbour, std::uint64_t version) {
+void TreeBroadcaster::setAcknowledged(const std::string& neighbour, std::uint64_t version) {
   peers_[neighbour].acknowledged = version;
 }
 
-void NewsSpreader::forgetFormerNeighbours() {
+void TreeBroadcaster::pruneNeighbours() {
   const std::vector<Endpoint> now = context_.neighbours();
   std::erase_if(peers_, [&now](const auto& entry) {
     const auto isIt = [&entry](const Endpoint& one) { return one.toString() == entry.first; };
--- a/src/relay/news_spreader.h
+++ b/src/relay/tree_broadcaster.h
@@ -16,8 +16,8 @@
 
 namespace calicodrift::relay {
 
-/// Dependencies of a NewsSpreader. They must outlive the spreader and run on its thread.
-struct NewsContext {
+/// Dependencies of a TreeBroadcaster. They must outlive the broadcaster and run on its thread.
+struct TreeBroadcastContext {
   boost::asio::any_io_executor executor;
   /// The nodes to notify: the parent and children in the tree, and for a root the other roots.
   std::function<std::vector<Endpoint>()> neighbours;
@@ -35,25 +35,25 @@
 /// they lack, and each of them notifies its own neighbours before it replies. A sender that has all
 /// replies therefore knows that every reachable node has the changes. Nothing is sent while nothing
 /// changes.
-class NewsSpreader {
+class TreeBroadcaster {
  public:
-  explicit NewsSpreader(NewsContext context) : context_(std::move(context)) {}
+  explicit TreeBroadcaster(TreeBroadcastContext context) : context_(std::move(context)) {}
 
   /// Sends pending changes to all neighbours but `except` and waits up to `time` for their replies.
-  boost::asio::awaitable<void> tell(Milliseconds time, std::string except = "");
+  boost::asio::awaitable<void> broadcast(Milliseconds time, std::string except = "");
   /// Sends pending changes without waiting for the replies.
-  void tellSoon();
+  void broadcastAsync();
   /// Records that a neighbour has sent its state. If the neighbour had everything up to `before`,
   /// it also has what it has just sent.
   /// @param before the local version before the neighbour's state was merged.
-  void onNewsFrom(const std::string& neighbour, std::uint64_t before);
+  void onUpdateFrom(const std::string& neighbour, std::uint64_t before);
   /// Records that the neighbour has all changes up to `version`.
-  void setTold(const std::string& neighbour, std::uint64_t version);
+  void setAcknowledged(const std::string& neighbour, std::uint64_t version);
   /// Drops the records of nodes that are no longer neighbours.
-  void forgetFormerNeighbours();
+  void pruneNeighbours();
 
   /// Time for a change to reach all nodes: several round trips through a tree of four levels.
-  static constexpr Milliseconds kTellTime{150};
+  static constexpr Milliseconds kBroadcastTimeout{150};
 
  private:
   struct Peer {
@@ -68,7 +68,7 @@
 
   boost::asio::awaitable<void> push(Endpoint neighbour, Milliseconds time);
 
-  NewsContext context_;
+  TreeBroadcastContext context_;
   std::map<std::string, Peer> peers_;
   /// Woken when a call to a neighbour ends.
   std::list<TimerPointer> waiters_;
--- a/src/relay/tree_place.cc
+++ b/src/relay/tree_position.cc
@@ -1,11 +1,11 @@
-#include "relay/tree_place.h"
+#include "relay/tree_position.h"
 
 #include <algorithm>
 
 namespace calicodrift::relay {
 
-std::vector<Endpoint> neighboursIn(const TreePlace& tree, bool tellsRoots,
-                                   const std::vector<Endpoint>& beyond) {
+std::vector<Endpoint> treeNeighbours(const TreePosition& tree, bool tellsRoots,
+                                     const std::vector<Endpoint>& beyond) {
   std::vector<Endpoint> found = tree.children();
   if (const std::optional<Endpoint> parent = tree.parent()) {
     found.push_back(*parent);
--- a/src/relay/tree_place.h
+++ b/src/relay/tree_position.h
@@ -9,7 +9,7 @@
 namespace calicodrift::relay {
 
 /// Current position of a node in the relay tree, for modules that send messages along the tree.
-struct TreePlace {
+struct TreePosition {
   /// Address at which other nodes reach this one; port 0 if they cannot.
   Endpoint endpoint;
   /// The node that this one follows, if any.
@@ -24,7 +24,7 @@
 
 /// The nodes to which a node sends its changes: its parent and children, the other roots if
 /// `tellsRoots`, and the nodes `beyond` its tree. Sorted, without duplicates.
-std::vector<Endpoint> neighboursIn(const TreePlace& tree, bool tellsRoots,
-                                   const std::vector<Endpoint>& beyond);
+std::vector<Endpoint> treeNeighbours(const TreePosition& tree, bool tellsRoots,
+                                     const std::vector<Endpoint>& beyond);
 
 }  // namespace calicodrift::relay
--- a/src/server_limits/notice_exchange.cc
+++ b/src/server_limits/notice_exchange.cc
@@ -17,20 +17,21 @@
     : context_(std::move(context)),
       limits_(limits),
       metrics_(metrics),
-      limitSpreader_(newsContext([this] { return limits_.changes(); },
-                                 [this](std::uint64_t since) {
-                                   LimitReport report;
-                                   report.records = limits_.changedSince(since);
-                                   return report;
-                                 })),
-      leavingSpreader_(newsContext([this] { return context_.pool.leaving().changes(); },
-                                   [this](std::uint64_t since) {
-                                     LimitReport report;
-                                     report.leaving = context_.pool.leaving().addedSince(since);
-                                     return report;
-                                   })) {}
-
-relay::NewsContext NoticeExchange::newsContext(
+      limitBroadcaster_(treeBroadcastContext([this] { return limits_.changes(); },
+                                             [this](std::uint64_t since) {
+                                               LimitReport report;
+                                               report.records = limits_.changedSince(since);
+                                               return report;
+                                             })),
+      leavingBroadcaster_(treeBroadcastContext([this] { return context_.pool.leaving().changes(); },
+                                               [this](std::uint64_t since) {
+                                                 LimitReport report;
+                                                 report.leaving =
+                                                     context_.pool.leaving().addedSince(since);
+                                                 return report;
+                                               })) {}
+
+relay::TreeBroadcastContext NoticeExchange::treeBroadcastContext(
     std::function<std::uint64_t()> version, std::function<LimitReport(std::uint64_t since)> news) {
   return {context_.executor, [this] { return neighbours(); }, std::move(version),
           [this, news = std::move(news)](Endpoint neighbour, std::uint64_t since, Milliseconds wait,
@@ -42,10 +43,10 @@
 awaitable<void> NoticeExchange::update() {
   co_await findOtherTrees();
   synchronizeNewNeighbours();
-  limitSpreader_.forgetFormerNeighbours();
-  leavingSpreader_.forgetFormerNeighbours();
-  limitSpreader_.tellSoon();
-  leavingSpreader_.tellSoon();
+  limitBroadcaster_.pruneNeighbours();
+  leavingBroadcaster_.pruneNeighbours();
+  limitBroadcaster_.broadcastAsync();
+  leavingBroadcaster_.broadcastAsync();
 }
 
 awaitable<void> NoticeExchange::findOtherTrees() {
@@ -67,8 +68,8 @@
 
 std::vector<Endpoint> NoticeExchange::neighbours() const {
   const bool isRoot = context_.tree.isRoot();
-  return relay::neighboursIn(context_.tree, isRoot,
-                             isRoot ? otherTreeRoots_ : std::vector<Endpoint>());
+  return relay::treeNeighbours(context_.tree, isRoot,
+                               isRoot ? otherTreeRoots_ : std::vector<Endpoint>());
 }
 
 void NoticeExchange::synchronizeNewNeighbours() {
@@ -92,7 +93,7 @@
   const std::uint64_t sentLimits = limits_.changes();
   const std::uint64_t sentLeaving = context_.pool.leaving().changes();
   const Result<LimitReport> answer =
-      co_await send(neighbour, std::move(report), relay::NewsSpreader::kTellTime);
+      co_await send(neighbour, std::move(report), relay::TreeBroadcaster::kBroadcastTimeout);
   synchronizing_.erase(neighbour);
   const bool isOlderBuild = !answer && answer.error().kind == ErrorKind::kProtocolViolation;
   if (!answer && !isOlderBuild) {
@@ -101,8 +102,8 @@
   synchronized_.insert(neighbour);
   settled_ = settled_ || context_.tree.parent() == neighbour;
   if (answer) {
-    limitSpreader_.setTold(neighbour.toString(), sentLimits);
-    leavingSpreader_.setTold(neighbour.toString(), sentLeaving);
+    limitBroadcaster_.setAcknowledged(neighbour.toString(), sentLimits);
+    leavingBroadcaster_.setAcknowledged(neighbour.toString(), sentLeaving);
     merge(answer.value());
   }
 }
@@ -136,8 +137,8 @@
   if (report.fresh) {
     answer.records = limits_.changedSince(0);
     answer.leaving = leaving.addedSince(0);
-    limitSpreader_.setTold(report.sender, limits_.changes());
-    leavingSpreader_.setTold(report.sender, leaving.changes());
+    limitBroadcaster_.setAcknowledged(report.sender, limits_.changes());
+    leavingBroadcaster_.setAcknowledged(report.sender, leaving.changes());
   } else {
     // A restarted sender may know less than before.
     for (const LimitRecord& received : report.records) {
@@ -146,15 +147,16 @@
         answer.records.push_back(*known);
       }
     }
-    limitSpreader_.onNewsFrom(report.sender, limitsBefore);
-    leavingSpreader_.onNewsFrom(report.sender, leavingBefore);
+    limitBroadcaster_.onUpdateFrom(report.sender, limitsBefore);
+    leavingBroadcaster_.onUpdateFrom(report.sender, leavingBefore);
   }
-  const Milliseconds wait = std::min(Milliseconds(report.waitMs), relay::NewsSpreader::kTellTime);
+  const Milliseconds wait =
+      std::min(Milliseconds(report.waitMs), relay::TreeBroadcaster::kBroadcastTimeout);
   if (limits_.changes() != limitsBefore) {
-    co_await limitSpreader_.tell(wait, report.sender);
+    co_await limitBroadcaster_.broadcast(wait, report.sender);
   }
   if (leaving.changes() != leavingBefore) {
-    co_await leavingSpreader_.tell(wait, report.sender);
+    co_await leavingBroadcaster_.broadcast(wait, report.sender);
   }
   co_return answer;
 }
--- a/src/server_limits/notice_exchange.h
+++ b/src/server_limits/notice_exchange.h
@@ -10,8 +10,8 @@
 #include "common/endpoint.h"
 #include "fleet/server_pool.h"
 #include "http/client.h"
-#include "relay/news_spreader.h"
-#include "relay/tree_place.h"
+#include "relay/tree_broadcaster.h"
+#include "relay/tree_position.h"
 #include "server_limits/limit_table.h"
 #include "server_limits/messages.h"
 #include "server_limits/metrics.h"
@@ -22,7 +22,7 @@
 struct NoticeExchangeContext {
   boost::asio::any_io_executor executor;
   http::Client& client;
-  relay::TreePlace tree;
+  relay::TreePosition tree;
   /// Holds the runs of servers that are leaving.
   fleet::ServerPool& pool;
   /// Names of all relay trees of the fleet, the name of this node's own tree, and a function that
@@ -43,8 +43,8 @@
 
   /// Synchronizes new neighbours and sends pending news to the others. Called at short intervals.
   boost::asio::awaitable<void> update();
-  void announceLimits() { limitSpreader_.tellSoon(); }
-  void announceLeaving() { leavingSpreader_.tellSoon(); }
+  void announceLimits() { limitBroadcaster_.broadcastAsync(); }
+  void announceLeaving() { leavingBroadcaster_.broadcastAsync(); }
   /// Merges limits into the table, and reports those that changed to onLimitLearnt.
   void mergeLimits(const std::vector<LimitRecord>& records);
   /// Handles another node's report; returns the answer once this node's neighbours have been
@@ -54,8 +54,8 @@
   bool settled() const { return settled_; }
 
  private:
-  relay::NewsContext newsContext(std::function<std::uint64_t()> version,
-                                 std::function<LimitReport(std::uint64_t since)> news);
+  relay::TreeBroadcastContext treeBroadcastContext(
+      std::function<std::uint64_t()> version, std::function<LimitReport(std::uint64_t since)> news);
   std::vector<Endpoint> neighbours() const;
   boost::asio::awaitable<void> findOtherTrees();
   std::uint64_t changes() const { return limits_.changes() + context_.pool.leaving().changes(); }
@@ -71,8 +71,8 @@
   NoticeExchangeContext context_;
   LimitTable& limits_;
   ServerLimitMetrics& metrics_;
-  relay::NewsSpreader limitSpreader_;
-  relay::NewsSpreader leavingSpreader_;
+  relay::TreeBroadcaster limitBroadcaster_;
+  relay::TreeBroadcaster leavingBroadcaster_;
   std::set<Endpoint> synchronized_;
   std::set<Endpoint> synchronizing_;
   /// Roots of the other trees.
--- a/src/server_limits/server_limit_node.h
+++ b/src/server_limits/server_limit_node.h
@@ -14,7 +14,7 @@
 #include "fleet/server_pool.h"
 #include "http/client.h"
 #include "http/server.h"
-#include "relay/tree_place.h"
+#include "relay/tree_position.h"
 #include "server_limits/limit_table.h"
 #include "server_limits/messages.h"
 #include "server_limits/metrics.h"
@@ -31,7 +31,7 @@
 struct ServerLimitContext {
   boost::asio::any_io_executor executor;
   http::Client& client;
-  relay::TreePlace tree;
+  relay::TreePosition tree;
   /// Roots that issue units, including this node if it is one.
   std::function<std::vector<Endpoint>()> grantingRoots;
   /// Whether this node may act where only one root may; and when former roots have stopped doing
--- a/src/store/kind_watcher.cc
+++ b/src/store/kind_watcher.cc
@@ -76,7 +76,7 @@
   revision_ = listing.value().revision;
   needsListing_ = false;
   synchronized_ = true;
-  provenBefore_ = provenAt_;
+  previousProvenAt_ = provenAt_;
   provenAt_ = std::max(provenAt_, asked + listing.value().provenAfterAsked);
   listener_.onListing(listing.value());
   co_return boost::outcome_v2::success();
@@ -95,7 +95,7 @@
   }
   proofRequested_ = false;
   revision_ = std::max(revision_, batch.value().revision);
-  provenBefore_ = provenAt_;
+  previousProvenAt_ = provenAt_;
   provenAt_ = std::max(provenAt_, store::provenAt(batch.value(), asked, wait, monotonicNow()));
   if (!batch.value().changes.empty()) {
     listener_.onChanges(batch.value());
--- a/src/store/kind_watcher.h
+++ b/src/store/kind_watcher.h
@@ -61,7 +61,7 @@
   /// Latest time at which the view was known to be current; the clock's epoch if nothing was read.
   MonotonicTime provenAt() const { return provenAt_; }
   /// The value of provenAt() before the newest listing or changes, which arrived after it.
-  MonotonicTime provenBefore() const { return provenBefore_; }
+  MonotonicTime previousProvenAt() const { return previousProvenAt_; }
   bool synchronized() const { return synchronized_; }
   Revision revision() const { return revision_; }
 
@@ -88,7 +88,7 @@
   /// The next watch is short, as it is only needed for its proof.
   bool proofRequested_ = false;
   MonotonicTime provenAt_{};
-  MonotonicTime provenBefore_{};
+  MonotonicTime previousProvenAt_{};
 };
 
 }  // namespace calicodrift::store
--- a/src/store/unreadable.h
+++ b/src/store/unreadable.h
@@ -11,7 +11,7 @@
 namespace calicodrift::store {
 
 /// The spec is not a JSON object, or the bytes of the spec or the metadata are not JSON.
-inline constexpr std::string_view kNoObject = "no_object";
+inline constexpr std::string_view kNotAnObject = "no_object";
 inline constexpr std::string_view kFieldMissing = "field_missing";
 /// A field has the wrong JSON type.
 inline constexpr std::string_view kFieldType = "field_type";
--- a/tests/forward/forwarding_fixture.h
+++ b/tests/forward/forwarding_fixture.h
@@ -205,7 +205,7 @@
         quotaMetrics_(registry_),
         quarantineMetrics_(registry_),
         quarantine_(
-            {context.get_executor(), client_, standaloneTreePlace(), [] { return false; }},
+            {context.get_executor(), client_, standaloneTreePosition(), [] { return false; }},
             failingStore_, "records", quarantineMetrics_, [](const store::Object&, const Error&) {},
             1),
         quota_({context.get_executor(), client_, [] { return quota::NodePlace{}; },
@@ -292,7 +292,7 @@
   }
 
   /// Position of a node that belongs to no relay tree.
-  static relay::TreePlace standaloneTreePlace() {
+  static relay::TreePosition standaloneTreePosition() {
     return {{},
             [] { return std::nullopt; },
             [] { return std::vector<Endpoint>(); },
@@ -304,7 +304,7 @@
   server_limits::ServerLimitContext standaloneLimitContext() {
     return {context.get_executor(),
             client_,
-            standaloneTreePlace(),
+            standaloneTreePosition(),
             [] { return std::vector<Endpoint>(); },
             [] { return true; },
             [] { return MonotonicTime(); },
--- a/tests/platform/foreign_records_test.cc
+++ b/tests/platform/foreign_records_test.cc
@@ -7,7 +7,7 @@
 
 #include "http/client.h"
 #include "lease/lease_keeper.h"
-#include "lease/shared_store_lease.h"
+#include "lease/object_store_lease_store.h"
 #include "operator_store.h"
 #include "relay/relay_list.h"
 #include "run_to_end.h"
@@ -53,7 +53,7 @@
   StoreStandIn stored{context};
   http::Client client{context.get_executor()};
   platform::OperatorStore port{client, stored.endpoint()};
-  lease::SharedStoreLease leases{port, kLeases};
+  lease::ObjectStoreLeaseStore leases{port, kLeases};
   lease::LeaseSettings settings{"me", Milliseconds(300), Milliseconds(100), Milliseconds(20), 0.05};
   lease::LeaseKeeper keeper{context.get_executor(), leases, kName, settings, [] { return true; }};
 };
--- a/tests/relay/configuration_age_test.cc
+++ b/tests/relay/configuration_age_test.cc
@@ -49,8 +49,7 @@
     return std::uniform_int_distribution<std::int64_t>(least, most)(random_);
   }
   StoreLoss anyLoss() {
-    constexpr StoreLoss kLosses[] = {StoreLoss::kRefused, StoreLoss::kSilent,
-                                     StoreLoss::kTurnedAway};
+    constexpr StoreLoss kLosses[] = {StoreLoss::kRefused, StoreLoss::kSilent, StoreLoss::kRejected};
     return kLosses[any(0, 2)];
   }
   std::vector<std::size_t> pick(const SimulatedTree& tree) {
--- a/tests/relay/relay_core_test.cc
+++ b/tests/relay/relay_core_test.cc
@@ -70,7 +70,7 @@
 
 BOOST_AUTO_TEST_CASE(treeWithFewChildrenPerNodeIsDeeperAndComplete) {
   RelaySettings settings;
-  settings.maxFollowers = 4;
+  settings.maxChildren = 4;
   SimulatedTree tree(600, 5, 7, settings);
   tree.startAll(kStartSpread);
   tree.run(Milliseconds(3000));
--- a/tests/relay/relay_node_test.cc
+++ b/tests/relay/relay_node_test.cc
@@ -379,7 +379,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(nodesRejectedByAFullRelayReadThroughItsChildren) {
-  settings.maxFollowers = 2;
+  settings.maxChildren = 2;
   for (int count = 0; count < 8; ++count) {
     addNode();
   }
@@ -414,7 +414,7 @@
 
 BOOST_AUTO_TEST_CASE(nodesBelowARootWithAnOldViewReadTheStoreThemselves) {
   // The tree alone would leave them with their parent's view for the whole test.
-  settings.maxFollowers = 2;
+  settings.maxChildren = 2;
   settings.proofAge = Milliseconds(60'000);
   settings.freshAge = settings.proofAge;
   settings.readAges["k"] = Milliseconds(300);
--- a/tests/relay/replaced_roots_test.cc
+++ b/tests/relay/replaced_roots_test.cc
@@ -96,7 +96,7 @@
           tree.setFrozen(victim, false);
           break;
         default:
-          tree.loseStore(victim, any(0, 1) == 0 ? StoreLoss::kSilent : StoreLoss::kTurnedAway,
+          tree.loseStore(victim, any(0, 1) == 0 ? StoreLoss::kSilent : StoreLoss::kRejected,
                          length);
           break;
       }
--- a/tests/relay/simulated_tree.h
+++ b/tests/relay/simulated_tree.h
@@ -21,7 +21,7 @@
   /// The store does not answer, so that each call ends by its timeout.
   kSilent,
   /// The store rejects calls at once, as when it has too many.
-  kTurnedAway,
+  kRejected,
 };
 
 /// Many RelayCores in virtual time, with a store and views whose age depends on their path from it.
@@ -398,7 +398,7 @@
       case StoreLoss::kSilent:
         return kStoreTimeout;
       case StoreLoss::kNone:
-      case StoreLoss::kTurnedAway:
+      case StoreLoss::kRejected:
         break;
     }
     return storeDown_ ? kStoreTimeout : kStoreAnswer;
--- a/tests/server_limits/drawn_schedules_test.cc
+++ b/tests/server_limits/drawn_schedules_test.cc
@@ -133,9 +133,8 @@
       tree.startAll(Milliseconds(800));
       break;
     default:
-      tree.loseStore(victim,
-                     any(0, 1) == 0 ? relay::StoreLoss::kSilent : relay::StoreLoss::kTurnedAway,
-                     length);
+      tree.loseStore(
+          victim, any(0, 1) == 0 ? relay::StoreLoss::kSilent : relay::StoreLoss::kRejected, length);
       break;
   }
 }
--- a/tests/server_limits/notice_exchange_test.cc
+++ b/tests/server_limits/notice_exchange_test.cc
@@ -38,12 +38,12 @@
         [this](LimitReport report) { return exchange->handleReport(std::move(report)); });
   }
   void start(asio::io_context& context) {
-    relay::TreePlace tree{endpoint,
-                          [this] { return parent; },
-                          [this] { return children; },
-                          [this] { return roots; },
-                          [this] { return !parent.has_value(); },
-                          [] { return false; }};
+    relay::TreePosition tree{endpoint,
+                             [this] { return parent; },
+                             [this] { return children; },
+                             [this] { return roots; },
+                             [this] { return !parent.has_value(); },
+                             [] { return false; }};
     exchange = std::make_unique<NoticeExchange>(NoticeExchangeContext{context.get_executor(),
                                                                       client,
                                                                       std::move(tree),
