--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -132,7 +132,9 @@
           hashBytes(settings_.nodeId)),
       lease_(context.get_executor(), leaseStore_, std::string(kWeightsLease),
              leaseSettings(settings_, processName_),
-             [this] { return !draining_ && relay_.readsStore() && weightsLoader_.needed(); }),
+             [this] {
+               return !draining_ && relay_.readsStore() && weightsLoader_.hasOutdatedServers();
+             }),
       weightsLoader_(context.get_executor(), serverCalls_, ports_.servers, pool_, targets_, lease_,
                      orderMetrics_, weightsLoaderSettings(settings_, processName_)),
       prober_(context.get_executor(), serverCalls_, ports_.servers, pool_,
@@ -197,9 +199,9 @@
       [this](const std::vector<fleet::SavedPart>& saves) {
         forwarder_.cacheMoves().applyPeerSaves(saves, monotonicNow());
       },
-      [this] { return targets_.known(monotonicNow()); },
+      [this] { return targets_.exportNamings(monotonicNow()); },
       [this](const std::vector<fleet::NamedWeights>& named) {
-        if (targets_.learn(named, monotonicNow())) {
+        if (targets_.merge(named, monotonicNow())) {
           views_.onNamingsLearnt();
         }
       },
--- a/src/gateway/module_settings.cc
+++ b/src/gateway/module_settings.cc
@@ -116,11 +116,11 @@
   loader.holder = std::move(holder);
   loader.maxConcurrentLoads = settings.maxConcurrentLoads;
   if (!settings.mechanisms.loadAnnouncements) {
-    loader.announces = false;
+    loader.announceLoads = false;
     loader.rounds.schedule.lead = Milliseconds(0);
   }
   if (!settings.mechanisms.settleByQueues) {
-    loader.settleTime = loader.longestSettleTime;
+    loader.settleTime = loader.maxSettleTime;
   }
   return loader;
 }
--- a/src/gateway/service_rollouts.cc
+++ b/src/gateway/service_rollouts.cc
@@ -246,7 +246,7 @@
     if (synchronized() || listed.size() == 1) {
       rules_.setListed(service, listed);
     } else {
-      rules_.hold(service);
+      rules_.blockTraffic(service);
     }
   }
   for (const std::string& service : rules_.services()) {
@@ -305,7 +305,7 @@
 
 void ServiceRollouts::judgeAll() {
   const std::set<OrderKey> keys = underWay();
-  observer_.keepOnly(keys);
+  observer_.retainOnly(keys);
   std::erase_if(progress_, [&keys](const auto& entry) { return !keys.contains(entry.first); });
   const MonotonicTime now = monotonicNow();
   for (const std::string& service : rules_.services()) {
@@ -319,9 +319,9 @@
 void ServiceRollouts::judgeOne(const std::string& service, const TrafficRule& rule,
                                MonotonicTime now) {
   Progress& progress =
-      progress_.try_emplace(rule.order, service_rollout::JudgeSettings{}).first->second;
+      progress_.try_emplace(rule.order, service_rollout::CanaryAnalyzerSettings{}).first->second;
   noteAge(service, rule.order, now);
-  const ObservationTable own = observer_.own(now);
+  const ObservationTable own = observer_.snapshot(now);
   progress.sum = {};
   progress.sum.order = rule.order;
   addObservations(rule.order, own, progress.sum);
@@ -330,7 +330,7 @@
   while (now - progress.reached.front().at > kRateSpan) {
     progress.reached.pop_front();
   }
-  const Verdict verdict = progress.judge.update(progress.sum, now);
+  const Verdict verdict = progress.analyzer.update(progress.sum, now);
   if (verdict != progress.verdict) {
     progress.verdict = verdict;
     log::write(log::Level::kInfo, "rollout_verdict",
@@ -339,7 +339,7 @@
                 {"verdict", std::string(toString(verdict))},
                 {"reached", textOf(progress.sum.reached)},
                 {"exposed", textOf(progress.sum.exposed)},
-                {"facts", progress.judge.explain()}});
+                {"facts", progress.analyzer.explain()}});
   }
   if ((verdict == Verdict::kBad || progress.sum.rejected) && !rules_.rejected(rule.order)) {
     reject(service, rule.order, verdict == Verdict::kBad ? "judged here" : "heard");
@@ -355,7 +355,7 @@
   }
   const auto seen = firstSights_.find(order->name);
   if (seen != firstSights_.end()) {
-    observer_.learnAge(key, std::chrono::duration_cast<Milliseconds>(now - seen->second.at), now);
+    observer_.updateAge(key, std::chrono::duration_cast<Milliseconds>(now - seen->second.at), now);
   }
 }
 
@@ -370,7 +370,7 @@
 }
 
 ObservationTable ServiceRollouts::own() const {
-  return enabled_ ? observer_.own(monotonicNow()) : ObservationTable{};
+  return enabled_ ? observer_.snapshot(monotonicNow()) : ObservationTable{};
 }
 
 void ServiceRollouts::onOthers(const ObservationTable& others) {
@@ -380,7 +380,7 @@
   for (const auto& [key, seen] : others) {
     // What was seen of an order that has ended is not told on.
     if (keys.contains(key)) {
-      observer_.learnAge(key, seen.age, now);
+      observer_.updateAge(key, seen.age, now);
     }
   }
 }
@@ -393,7 +393,7 @@
   hooks.canaryServerShare = plan_.exposureShare * kEarlyCanaryPart;
   hooks.rule = [this](const std::string& service) { return ruleFor(service); };
   hooks.takeCanary = [this](OrderKey order, service_rollout::RouteKey route) {
-    return budget_.take(order, route);
+    return budget_.assignToCandidate(order, route);
   };
   hooks.onRefused = [this](OrderKey order, service_rollout::RouteKey route) {
     budget_.refund(order, route);
--- a/src/gateway/service_rollouts.h
+++ b/src/gateway/service_rollouts.h
@@ -17,8 +17,8 @@
 #include "gateway/unreadable_objects.h"
 #include "lease/lease_keeper.h"
 #include "relay/relayed_store.h"
+#include "service_rollout/canary_analyzer.h"
 #include "service_rollout/canary_budget.h"
-#include "service_rollout/judge.h"
 #include "service_rollout/metrics.h"
 #include "service_rollout/observer.h"
 #include "service_rollout/rollout_controller.h"
@@ -84,9 +84,9 @@
   };
   /// What this node keeps of an order under way.
   struct Progress {
-    explicit Progress(service_rollout::JudgeSettings settings) : judge(settings) {}
+    explicit Progress(service_rollout::CanaryAnalyzerSettings settings) : analyzer(settings) {}
 
-    service_rollout::Judge judge;
+    service_rollout::CanaryAnalyzer analyzer;
     service_rollout::OrderObservations sum;
     std::deque<ReachedAt> reached;
     service_rollout::Verdict verdict = service_rollout::Verdict::kUndecided;
--- a/src/gateway/service_rollouts_decisions.cc
+++ b/src/gateway/service_rollouts_decisions.cc
@@ -77,9 +77,9 @@
   const auto found = progress_.find(keyOf(record));
   if (found != progress_.end()) {
     const Progress& progress = found->second;
-    input.seen = progress.sum;
+    input.observations = progress.sum;
     input.verdict = progress.verdict;
-    input.evidence = progress.judge.explain();
+    input.evidence = progress.analyzer.explain();
     input.requestsPerSecond = rateOf(progress);
   }
 }
@@ -98,7 +98,7 @@
       all.push_back(statusOf(service));
     }
   }
-  metrics_.show(all);
+  metrics_.setStatuses(all);
 }
 
 service_rollout::RolloutStatus ServiceRollouts::statusOf(const std::string& service) const {
@@ -121,7 +121,7 @@
     status.reached = progress.sum.reached;
     status.exposed = progress.sum.exposed;
     status.age = progress.sum.age;
-    status.evidence = progress.judge.evidence();
+    status.evidence = progress.analyzer.evidence();
   }
   return status;
 }
--- a/src/gateway/store_views.cc
+++ b/src/gateway/store_views.cc
@@ -210,15 +210,16 @@
   const bool seen = inTime && unproven <= longestCalmProof();
   if (seen) {
     const Milliseconds late = std::max(Milliseconds(0), unproven - kHearing);
-    targets_.name(named.model, named.weights, now, late);
+    targets_.addObserved(named.model, named.weights, now, late);
   } else {
-    targets_.find(named.model, named.weights, provenAt, now);
+    targets_.addDiscovered(named.model, named.weights, provenAt, now);
   }
-  log::write(log::Level::kInfo, "weights_named",
-             {{"model", named.model.value()},
-              {"weights", std::to_string(named.weights.value())},
-              {"source", std::string(weights::toString(seen ? weights::NamingSource::kSeen
-                                                            : weights::NamingSource::kFound))}});
+  log::write(
+      log::Level::kInfo, "weights_named",
+      {{"model", named.model.value()},
+       {"weights", std::to_string(named.weights.value())},
+       {"source", std::string(weights::toString(seen ? weights::NamingSource::kObserved
+                                                     : weights::NamingSource::kDiscovered))}});
 }
 
 Milliseconds StoreViews::longestCalmProof() const {
@@ -251,10 +252,10 @@
   const Milliseconds beyond = pool_.maxQueueWait() - kQueueInMargin;
   const Milliseconds allowance = std::clamp(beyond, Milliseconds(0), kMostAllowance);
   for (const ModelId& model : targets_.models()) {
-    pool_.setMinWeights(model, targets_.least(model, now + allowance), now);
-    listeners_.onLeastWaiting(model, targets_.leastWaiting(model, now));
+    pool_.setMinWeights(model, targets_.leastSendable(model, now + allowance), now);
+    listeners_.onLeastWaiting(model, targets_.leastWaitable(model, now));
   }
-  nextTermEnd_ = targets_.nextEnd(now);
+  nextTermEnd_ = targets_.nextExpiry(now);
   // A naming may have brought the next end nearer.
   termTimer_.cancel();
 }
--- a/src/gateway/weights_floor.cc
+++ b/src/gateway/weights_floor.cc
@@ -13,7 +13,7 @@
 namespace {
 
 /// Between two looks. A term lasts seconds, and a node that starts within this time after its end
-/// uses the older weights for WeightsTargets::kFoundTerm at most.
+/// uses the older weights for WeightsTargets::kDiscoveredTerm at most.
 constexpr Milliseconds kInterval{250};
 /// Nodes wait for different parts of this time, so that mostly one writes and the others see it.
 constexpr Milliseconds kLongestDelay{200};
@@ -67,7 +67,7 @@
   if (stored == context_.stored().end()) {
     return std::nullopt;
   }
-  const WeightsVersion floor = context_.targets.certainLeast(model, monotonicNow());
+  const WeightsVersion floor = context_.targets.confirmedLeast(model, monotonicNow());
   return floor > stored->second.floor ? std::optional(floor) : std::nullopt;
 }
 
--- a/src/gateway/weights_floor.h
+++ b/src/gateway/weights_floor.h
@@ -30,11 +30,11 @@
 /// a restart of all nodes. A node reads it with the naming, in the same call.
 ///
 /// Without it a node that restarts together with all others uses every version that servers hold
-/// for WeightsTargets::kFoundTerm, also those that ran out long before. A naming costs one or two
-/// writes a group of relays, and one change that all nodes read.
+/// for WeightsTargets::kDiscoveredTerm, also those that ran out long before. A naming costs one or
+/// two writes a group of relays, and one change that all nodes read.
 ///
 /// Invariant: a floor only rises, and is at most what all nodes have given up: what is written is
-/// known for certain (WeightsTargets::certainLeast), on condition that the object is as it was
+/// known for certain (WeightsTargets::confirmedLeast), on condition that the object is as it was
 /// read.
 class WeightsFloorRecorder {
  public:
--- a/src/service_rollout/judge.cc
+++ b/src/service_rollout/canary_analyzer.cc
@@ -1,4 +1,4 @@
-#include "service_rollout/judge.h"
+#include "service_rollout/canary_analyzer.h"
 
 #include <algorithm>
 #include <cmath>
@@ -108,7 +108,7 @@
   return "unknown";
 }
 
-Verdict Judge::update(const OrderObservations& sum, MonotonicTime now) {
+Verdict CanaryAnalyzer::update(const OrderObservations& sum, MonotonicTime now) {
   if (verdict_ == Verdict::kBad) {
     return verdict_;
   }
@@ -134,7 +134,7 @@
   return verdict_;
 }
 
-bool Judge::hasEnoughAnswers() const {
+bool CanaryAnalyzer::hasEnoughAnswers() const {
   if (all_.seen[kCandidate].answered < settings_.minAnswers) {
     return false;
   }
@@ -146,8 +146,8 @@
   });
 }
 
-std::map<RouteKey, Judge::Samples> Judge::computeIncrements(const std::map<RouteKey, Samples>& sum,
-                                                            MonotonicTime now) {
+std::map<RouteKey, CanaryAnalyzer::Samples> CanaryAnalyzer::computeIncrements(
+    const std::map<RouteKey, Samples>& sum, MonotonicTime now) {
   std::map<RouteKey, Samples> increment;
   std::map<RouteKey, Samples> latest = sum;
   for (const auto& [route, before] : last_) {
@@ -164,8 +164,8 @@
   return increment;
 }
 
-RouteSample Judge::incrementOf(const RouteSample& sample, const RouteSample& before,
-                               LostAnswers& lost, MonotonicTime now) {
+RouteSample CanaryAnalyzer::incrementOf(const RouteSample& sample, const RouteSample& before,
+                                        LostAnswers& lost, MonotonicTime now) {
   if (now > lost.until) {
     lost.answers = 0;
   }
@@ -187,7 +187,7 @@
   return increment;
 }
 
-void Judge::updateScores(Scope& scope, const Samples& increment, MonotonicTime now) {
+void CanaryAnalyzer::updateScores(Scope& scope, const Samples& increment, MonotonicTime now) {
   recordStableAnswers(scope, increment[kStable], now);
   const RouteSample& candidate = increment[kCandidate];
   for (std::size_t track = 0; track < kTrackCount; ++track) {
@@ -206,7 +206,8 @@
   scoreSlowness(scores[kPaceThin], kThinTail, &RouteSample::pace, baseline, candidate);
 }
 
-void Judge::recordStableAnswers(Scope& scope, const RouteSample& stable, MonotonicTime now) const {
+void CanaryAnalyzer::recordStableAnswers(Scope& scope, const RouteSample& stable,
+                                         MonotonicTime now) const {
   while (!scope.slices.empty() &&
          now - scope.slices.front().from > std::max(kMaxWindow, settings_.window)) {
     scope.slices.pop_front();
@@ -220,7 +221,7 @@
   scope.slices.back().stable += stable;
 }
 
-Judge::Baseline Judge::baselineOf(const Scope& scope, MonotonicTime now) const {
+CanaryAnalyzer::Baseline CanaryAnalyzer::baselineOf(const Scope& scope, MonotonicTime now) const {
   Baseline baseline;
   for (auto slice = scope.slices.rbegin(); slice != scope.slices.rend(); ++slice) {
     const auto age = now - slice->from;
@@ -237,8 +238,8 @@
   return baseline;
 }
 
-void Judge::scoreFailures(Score& score, double increase, const Baseline& baseline,
-                          const RouteSample& candidate) {
+void CanaryAnalyzer::scoreFailures(Score& score, double increase, const Baseline& baseline,
+                                   const RouteSample& candidate) {
   if (baseline.window.answered < kMinAnswersForFailures) {
     return;
   }
@@ -252,8 +253,8 @@
   addToScore(score, increase, expected, {candidate.failed, candidate.answered});
 }
 
-void Judge::scoreSlowness(Score& score, double tail, RatioHistogram RouteSample::*ratios,
-                          const Baseline& baseline, const RouteSample& candidate) {
+void CanaryAnalyzer::scoreSlowness(Score& score, double tail, RatioHistogram RouteSample::*ratios,
+                                   const Baseline& baseline, const RouteSample& candidate) {
   const RatioHistogram& stable = baseline.window.*ratios;
   const std::uint64_t answers = countFrom(stable, 0);
   if (answers < kMinAnswersForSlowness) {
@@ -279,7 +280,7 @@
   addToScore(score, kSlowIncrease, expected, {countFrom(seen, slowFrom), countFrom(seen, 0)});
 }
 
-void Judge::addToScore(Score& score, double increase, double expected, Counts seen) {
+void CanaryAnalyzer::addToScore(Score& score, double increase, double expected, Counts seen) {
   if (seen.answers == 0 || expected + increase > kMaxExpectedShare) {
     return;
   }
@@ -297,7 +298,7 @@
   score.expected = expected;
 }
 
-Judge::Strongest Judge::strongest() const {
+CanaryAnalyzer::Strongest CanaryAnalyzer::strongest() const {
   Strongest found;
   found.scope = &all_;
   const auto consider = [&found](const Scope& scope, std::optional<RouteKey> route) {
@@ -314,15 +315,15 @@
   return found;
 }
 
-double Judge::evidence() const {
+double CanaryAnalyzer::evidence() const {
   return verdict_ == Verdict::kBad ? finalEvidence_ : strongest().score.ratio;
 }
 
-std::string Judge::explain() const {
+std::string CanaryAnalyzer::explain() const {
   return verdict_ == Verdict::kBad ? finalText_ : describe(strongest());
 }
 
-std::string Judge::describe(const Strongest& strongest) const {
+std::string CanaryAnalyzer::describe(const Strongest& strongest) const {
   const Samples& seen = strongest.scope->seen;
   std::ostringstream text;
   text << std::fixed << std::setprecision(1);
--- a/src/service_rollout/judge.h
+++ b/src/service_rollout/canary_analyzer.h
@@ -23,7 +23,7 @@
 
 /// Parameters of the judgement; docs/design/service-rollouts.md derives them and tabulates the
 /// probabilities of both errors.
-struct JudgeSettings {
+struct CanaryAnalyzerSettings {
   /// Logarithm of the likelihood ratio at which the candidate is rejected. A sound version is
   /// rejected within n answers with probability below n x p x e^-threshold for each test, where p
   /// is the share of bad answers that the test looks for.
@@ -47,9 +47,9 @@
 ///
 /// Answers on a route with too few answers of the stable version are ignored, so the candidate
 /// stays undecided there.
-class Judge {
+class CanaryAnalyzer {
  public:
-  explicit Judge(JudgeSettings settings) : settings_(settings) {}
+  explicit CanaryAnalyzer(CanaryAnalyzerSettings settings) : settings_(settings) {}
 
   /// @param sum observations of all nodes including this one. Counts may decrease if a node is
   /// lost.
@@ -127,7 +127,7 @@
   Strongest strongest() const;
   std::string describe(const Strongest& strongest) const;
 
-  JudgeSettings settings_;
+  CanaryAnalyzerSettings settings_;
   Verdict verdict_ = Verdict::kUndecided;
   std::map<RouteKey, Samples> last_;
   std::map<RouteKey, std::array<LostAnswers, kTrackCount>> lostAnswers_;
--- a/src/service_rollout/canary_budget.cc
+++ b/src/service_rollout/canary_budget.cc
@@ -4,7 +4,7 @@
 
 namespace calicodrift::service_rollout {
 
-bool CanaryBudget::take(OrderKey order, RouteKey route) {
+bool CanaryBudget::assignToCandidate(OrderKey order, RouteKey route) {
   OrderAccounts& accounts = accountsOf(order);
   const auto [found, added] = accounts.routes.try_emplace(route);
   Account& account = found->second;
--- a/src/service_rollout/canary_budget.h
+++ b/src/service_rollout/canary_budget.h
@@ -25,7 +25,7 @@
 
   /// Whether this request goes to the candidate. Counts the request in either case. Call it once
   /// per request: retries go to the stable version.
-  bool take(OrderKey order, RouteKey route);
+  bool assignToCandidate(OrderKey order, RouteKey route);
   /// Removes the request's contribution to the share, if the request reached no server.
   void refund(OrderKey order, RouteKey route);
   /// Sets the share for further requests; exposure already spent is kept.
--- a/src/service_rollout/metrics.cc
+++ b/src/service_rollout/metrics.cc
@@ -73,7 +73,7 @@
   writes_.Add({{"object", object}, {"outcome", written ? "written" : "failed"}}).Increment();
 }
 
-void RolloutMetrics::show(const std::vector<RolloutStatus>& services) {
+void RolloutMetrics::setStatuses(const std::vector<RolloutStatus>& services) {
   for (Gauges* gauges : {&info_, &reached_, &exposed_, &age_, &evidence_}) {
     gauges->clear();
   }
--- a/src/service_rollout/metrics.h
+++ b/src/service_rollout/metrics.h
@@ -36,7 +36,7 @@
   SoftwareVersion target;
   OrderState state = OrderState::kNew;
   std::string verdict;
-  /// Logarithm of the likelihood ratio against the candidate, from this node's judge.
+  /// Logarithm of the likelihood ratio against the candidate, from this node's canary analyzer.
   double evidence = 0;
   /// Requests to either version and to the candidate since the order, over all nodes.
   std::uint64_t reached = 0;
@@ -50,7 +50,7 @@
   explicit RolloutMetrics(prometheus::Registry& registry);
 
   /// Replaces the status shown for all services.
-  void show(const std::vector<RolloutStatus>& services);
+  void setStatuses(const std::vector<RolloutStatus>& services);
   /// Counts a request sent by this node while an order was in progress.
   void countSent(const std::string& service, Track track);
   /// Counts a candidate that this node rejected itself or learned to be rejected.
--- a/src/service_rollout/observer.cc
+++ b/src/service_rollout/observer.cc
@@ -30,7 +30,7 @@
   }
 }
 
-void Observer::learnAge(OrderKey order, Milliseconds age, MonotonicTime now) {
+void Observer::updateAge(OrderKey order, Milliseconds age, MonotonicTime now) {
   std::optional<MonotonicTime>& writtenAt = accountOf(order).writtenAt;
   writtenAt = std::min(writtenAt.value_or(now), now - age);
 }
@@ -39,12 +39,12 @@
   accountOf(order).seen.rejected = true;
 }
 
-void Observer::keepOnly(const std::set<OrderKey>& running) {
+void Observer::retainOnly(const std::set<OrderKey>& running) {
   std::erase_if(accounts_,
                 [&running](const auto& account) { return !running.contains(account.first); });
 }
 
-ObservationTable Observer::own(MonotonicTime now) const {
+ObservationTable Observer::snapshot(MonotonicTime now) const {
   ObservationTable table;
   for (const auto& [order, account] : accounts_) {
     OrderObservations& seen = table[order] = account.seen;
--- a/src/service_rollout/observer.h
+++ b/src/service_rollout/observer.h
@@ -14,7 +14,7 @@
 /// Performs no I/O; the caller passes the time where needed.
 ///
 /// Invariant: memory is bounded by the number of running orders and kMaxRoutes for each, because an
-/// answer is counted only while its order is known and keepOnly() drops all other orders.
+/// answer is counted only while its order is known and retainOnly() drops all other orders.
 class Observer {
  public:
   /// Maximum number of routes that are judged separately for an order; further routes are counted
@@ -29,14 +29,14 @@
   void onAnswer(OrderKey order, const AnswerObservation& answer);
   /// Records that the order was written `age` ago, as read by this node or reported by others. The
   /// greatest age applies; it increases with the node's clock and is passed on to others.
-  void learnAge(OrderKey order, Milliseconds age, MonotonicTime now);
+  void updateAge(OrderKey order, Milliseconds age, MonotonicTime now);
   /// Records that the candidate is bad, as found by this node or learned from others. Never reset
   /// while the order runs.
   void reject(OrderKey order);
   /// Drops all orders but the running ones.
-  void keepOnly(const std::set<OrderKey>& running);
+  void retainOnly(const std::set<OrderKey>& running);
 
-  ObservationTable own(MonotonicTime now) const;
+  ObservationTable snapshot(MonotonicTime now) const;
   /// Number of answers counted under kOverflowRoute, for the metrics.
   std::uint64_t overflowAnswers() const { return overflowAnswers_; }
 
--- a/src/service_rollout/plan.cc
+++ b/src/service_rollout/plan.cc
@@ -88,20 +88,21 @@
 
 /// Whether observations and verdict belong to the record's order.
 bool hasObservations(const PlanInput& input) {
-  return input.record && input.seen.order == keyOf(*input.record);
+  return input.record && input.observations.order == keyOf(*input.record);
 }
 
 bool isRejected(const PlanInput& input) {
-  return hasObservations(input) && (input.verdict == Verdict::kBad || input.seen.rejected);
+  return hasObservations(input) && (input.verdict == Verdict::kBad || input.observations.rejected);
 }
 
 bool isSound(const PlanInput& input) {
-  return hasObservations(input) && input.verdict == Verdict::kSound && !input.seen.rejected;
+  return hasObservations(input) && input.verdict == Verdict::kSound && !input.observations.rejected;
 }
 
 /// Time until the deadline; negative past it.
 Milliseconds timeLeft(const PlanInput& input) {
-  return input.order->duration - (hasObservations(input) ? input.seen.age : Milliseconds(0));
+  return input.order->duration -
+         (hasObservations(input) ? input.observations.age : Milliseconds(0));
 }
 
 /// Whether no requests run any more on the versions that may stop at the end, or the wait has timed
@@ -121,8 +122,9 @@
 
 std::string describeFigures(const PlanInput& input) {
   return std::to_string(timeLeft(input).count()) + " ms left, " +
-         std::to_string(input.seen.exposed) + " of " + std::to_string(input.seen.reached) +
-         " requests to the candidate" + (input.evidence.empty() ? "" : ", " + input.evidence);
+         std::to_string(input.observations.exposed) + " of " +
+         std::to_string(input.observations.reached) + " requests to the candidate" +
+         (input.evidence.empty() ? "" : ", " + input.evidence);
 }
 
 /// Ends the order in progress without an outcome: the stable version gets all traffic again. The
@@ -275,10 +277,10 @@
 }  // namespace
 
 Milliseconds shiftBudget(const PlanInput& input, const PlanSettings& settings) {
-  const double allowed = settings.exposureShare * static_cast<double>(input.seen.reached) +
+  const double allowed = settings.exposureShare * static_cast<double>(input.observations.reached) +
                          kShiftSlackShare * settings.exposureSlack;
-  const double left = allowed - static_cast<double>(input.seen.exposed);
-  const bool rateUnknown = input.requestsPerSecond <= 0 && input.seen.reached > 0;
+  const double left = allowed - static_cast<double>(input.observations.exposed);
+  const bool rateUnknown = input.requestsPerSecond <= 0 && input.observations.reached > 0;
   if (left <= 0 || rateUnknown) {
     return Milliseconds(0);
   }
--- a/src/service_rollout/plan.h
+++ b/src/service_rollout/plan.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "common/clock.h"
-#include "service_rollout/judge.h"
+#include "service_rollout/canary_analyzer.h"
 #include "service_rollout/observations.h"
 #include "service_rollout/order.h"
 #include "service_rollout/service_record.h"
@@ -42,7 +42,7 @@
   SoftwareVersion firstSeen;
   /// Sums over all nodes for the record's order; `age` is the order's. Observations and verdict of
   /// another order are ignored.
-  OrderObservations seen;
+  OrderObservations observations;
   Verdict verdict = Verdict::kUndecided;
   /// Figures behind the verdict, for the log.
   std::string evidence;
--- a/src/service_rollout/rollout_controller.cc
+++ b/src/service_rollout/rollout_controller.cc
@@ -12,7 +12,7 @@
 using asio::awaitable;
 
 std::string_view describeVerdict(const PlanInput& input) {
-  if (input.seen.rejected) {
+  if (input.observations.rejected) {
     return "rejected by a node";
   }
   if (input.verdict == Verdict::kBad) {
@@ -26,9 +26,9 @@
              {{"service", service},
               {"candidate", input.record->candidate.value()},
               {"verdict", std::string(describeVerdict(input))},
-              {"age_ms", std::to_string(input.seen.age.count())},
-              {"exposed", std::to_string(input.seen.exposed)},
-              {"reached", std::to_string(input.seen.reached)},
+              {"age_ms", std::to_string(input.observations.age.count())},
+              {"exposed", std::to_string(input.observations.exposed)},
+              {"reached", std::to_string(input.observations.reached)},
               {"evidence", input.evidence}});
 }
 
@@ -64,12 +64,12 @@
 
   void recordVerdict(const std::string& service, const PlanInput& input) {
     const bool inProgress = input.record && input.record->phase != Phase::kSteady;
-    if (!inProgress || input.seen.order != keyOf(*input.record)) {
+    if (!inProgress || input.observations.order != keyOf(*input.record)) {
       return;
     }
-    if (input.verdict != verdict || input.seen.rejected != rejected) {
+    if (input.verdict != verdict || input.observations.rejected != rejected) {
       verdict = input.verdict;
-      rejected = input.seen.rejected;
+      rejected = input.observations.rejected;
       logVerdict(service, input);
     }
   }
--- a/src/service_rollout/traffic_rules.cc
+++ b/src/service_rollout/traffic_rules.cc
@@ -69,7 +69,7 @@
 void TrafficRules::setListed(const std::string& service,
                              const std::map<SoftwareVersion, std::size_t>& listed) {
   listed_[service] = listed;
-  heldServices_.erase(service);
+  blockedServices_.erase(service);
   const auto known = firstSeen_.find(service);
   const bool stillListed = known != firstSeen_.end() && listed.contains(known->second);
   if (stillListed) {
@@ -115,7 +115,7 @@
   for (const auto& [service, versions] : listed_) {
     all.insert(service);
   }
-  all.insert(heldServices_.begin(), heldServices_.end());
+  all.insert(blockedServices_.begin(), blockedServices_.end());
   return all;
 }
 
@@ -136,7 +136,7 @@
 TrafficRule TrafficRules::ruleFor(const std::string& service, MonotonicTime provenAt,
                                   MonotonicTime now) const {
   TrafficRule rule;
-  if (heldServices_.contains(service)) {
+  if (blockedServices_.contains(service)) {
     rule.stable = kNoVersion;
     return rule;
   }
--- a/src/service_rollout/traffic_rules.h
+++ b/src/service_rollout/traffic_rules.h
@@ -59,7 +59,7 @@
   void setListed(const std::string& service, const std::map<SoftwareVersion, std::size_t>& listed);
   /// Stops all traffic of the service: servers of several versions are listed, but the orders have
   /// not been read yet, so the stable version can't be determined.
-  void hold(const std::string& service) { heldServices_.insert(service); }
+  void blockTraffic(const std::string& service) { blockedServices_.insert(service); }
   /// Records that the nodes have found the order's candidate to be bad. Applies for the lifetime of
   /// the process.
   void reject(OrderKey order) { rejected_.insert(order); }
@@ -88,7 +88,7 @@
   /// By service: the version that most servers had when it was first seen.
   std::map<std::string, SoftwareVersion> firstSeen_;
   std::set<OrderKey> rejected_;
-  std::set<std::string> heldServices_;
+  std::set<std::string> blockedServices_;
 };
 
 }  // namespace calicodrift::service_rollout
--- a/src/weights/weights_history.cc
+++ b/src/weights/weights_history.cc
@@ -17,9 +17,9 @@
 
 std::string_view toString(NamingSource source) {
   switch (source) {
-    case NamingSource::kSeen:
+    case NamingSource::kObserved:
       return "seen";
-    case NamingSource::kFound:
+    case NamingSource::kDiscovered:
       return "found";
     case NamingSource::kReportedByPeer:
       return "told";
@@ -29,7 +29,7 @@
 
 void WeightsHistory::addObserved(WeightsVersion version, MonotonicTime now, Milliseconds maxDelay) {
   // Known versions keep the time at which they were first observed.
-  namings_.emplace(version, Naming{now - maxDelay, now, NamingSource::kSeen});
+  namings_.emplace(version, Naming{now - maxDelay, now, NamingSource::kObserved});
   while (namings_.size() > kMaxNamings) {
     namings_.erase(namings_.begin());
   }
@@ -48,7 +48,7 @@
   coveredFrom_ = version;
   discoveredAt_ = now;
   // The version was named by now at the latest, which bounds the expiry of older ones on all nodes.
-  namings_.emplace(version, Naming{now, now, NamingSource::kFound});
+  namings_.emplace(version, Naming{now, now, NamingSource::kDiscovered});
 }
 
 bool WeightsHistory::raiseFloor(WeightsVersion floor, MonotonicTime now) {
@@ -112,7 +112,7 @@
   for (auto naming = namings_.lower_bound(received.coveredFrom); naming != namings_.end();
        ++naming) {
     // The time of this naming is not known; the entry only bounds the versions before it.
-    if (naming->first == coveredFrom_ && naming->second.source == NamingSource::kFound) {
+    if (naming->first == coveredFrom_ && naming->second.source == NamingSource::kDiscovered) {
       continue;
     }
     // Rounded down, so that an age doesn't grow by being passed from node to node.
@@ -211,7 +211,7 @@
 
 std::optional<NamingSource> WeightsHistory::supersessionSource(WeightsVersion version) const {
   if (historyIncomplete(version)) {
-    return NamingSource::kFound;
+    return NamingSource::kDiscovered;
   }
   const Naming* successor = successorOf(version);
   return successor == nullptr ? std::nullopt : std::optional(successor->source);
--- a/src/weights/weights_history.h
+++ b/src/weights/weights_history.h
@@ -30,9 +30,9 @@
 /// How a node learned of a naming; written to logs.
 enum class NamingSource {
   /// The node's watch reported it.
-  kSeen,
+  kObserved,
   /// It was in a listing or in a delayed change, so its age is unknown.
-  kFound,
+  kDiscovered,
   /// Another node reported its age.
   kReportedByPeer,
 };
@@ -103,7 +103,7 @@
     MonotonicTime since;
     /// When this node learned of the naming.
     MonotonicTime learnedAt;
-    NamingSource source = NamingSource::kSeen;
+    NamingSource source = NamingSource::kObserved;
   };
 
   /// Lowest version usable under the incomplete history: from `end` on, no version below
--- a/src/weights/weights_loader.cc
+++ b/src/weights/weights_loader.cc
@@ -110,10 +110,10 @@
 }
 
 Milliseconds WeightsLoader::settleTime() const {
-  return std::min(settings_.settleTime + pool_.maxQueueWait(), settings_.longestSettleTime);
+  return std::min(settings_.settleTime + pool_.maxQueueWait(), settings_.maxSettleTime);
 }
 
-bool WeightsLoader::needed() const {
+bool WeightsLoader::hasOutdatedServers() const {
   return pool_.countIf([this](const fleet::Server& server) { return isOutdated(server); }) > 0;
 }
 
@@ -121,7 +121,7 @@
   for (;;) {
     const std::optional<FencingToken> token = lease_.token();
     metrics_.setLeaseHeld(token.has_value());
-    if (token && needed()) {
+    if (token && hasOutdatedServers()) {
       co_await round(*token);
     } else {
       rounds_.clear();
@@ -183,7 +183,7 @@
 }
 
 void WeightsLoader::announce() {
-  if (!settings_.announces) {
+  if (!settings_.announceLoads) {
     return;
   }
   std::map<BackendId, WeightsVersion> loads;
@@ -229,7 +229,7 @@
   const MonotonicTime now = monotonicNow();
   return std::all_of(server.models.begin(), server.models.end(),
                      [this, now](const fleet::LoadedModel& loaded) {
-                       return loaded.weights < targets_.least(loaded.model, now);
+                       return loaded.weights < targets_.leastSendable(loaded.model, now);
                      });
 }
 
--- a/src/weights/weights_loader.h
+++ b/src/weights/weights_loader.h
@@ -34,12 +34,12 @@
   Milliseconds settleTime{1000};
   /// Upper limit of the settle time with queues included: a move that would wait for more than two
   /// seconds is not begun.
-  Milliseconds longestSettleTime{2700};
+  Milliseconds maxSettleTime{2700};
   /// Interval between two rounds.
   Milliseconds interval{120};
   Milliseconds callTimeout{250};
   /// Whether other nodes are informed before a server is ordered.
-  bool announces = true;
+  bool announceLoads = true;
   LoadRoundsSettings rounds;
 };
 
@@ -60,7 +60,7 @@
   /// to the earlier run.
   void onRestarted(const BackendId& server);
   /// Whether any server has older weights than those named for its model.
-  bool needed() const;
+  bool hasOutdatedServers() const;
 
  private:
   struct Survey;
--- a/src/weights/weights_targets.cc
+++ b/src/weights/weights_targets.cc
@@ -4,14 +4,14 @@
 
 namespace calicodrift::weights {
 
-void WeightsTargets::name(const ModelId& model, WeightsVersion version, MonotonicTime now,
-                          Milliseconds maxDelay) {
+void WeightsTargets::addObserved(const ModelId& model, WeightsVersion version, MonotonicTime now,
+                                 Milliseconds maxDelay) {
   histories_[model].addObserved(version, now, maxDelay);
 }
 
-void WeightsTargets::find(const ModelId& model, WeightsVersion version, MonotonicTime provenAt,
-                          MonotonicTime now) {
-  const Milliseconds discoveredTerm = std::min(kFoundTerm, terms_.send / 2);
+void WeightsTargets::addDiscovered(const ModelId& model, WeightsVersion version,
+                                   MonotonicTime provenAt, MonotonicTime now) {
+  const Milliseconds discoveredTerm = std::min(kDiscoveredTerm, terms_.send / 2);
   const bool watchedBefore = provenAt != MonotonicTime{};
   const MonotonicTime discoveredEnd = startedAt_ + discoveredTerm;
   IncompleteHistoryLimits limits{discoveredEnd, discoveredEnd, discoveredEnd - terms_.send};
@@ -23,7 +23,7 @@
   histories_[model].addDiscovered(version, limits, now);
 }
 
-bool WeightsTargets::learn(const std::vector<fleet::NamedWeights>& named, MonotonicTime now) {
+bool WeightsTargets::merge(const std::vector<fleet::NamedWeights>& named, MonotonicTime now) {
   bool changed = false;
   for (const fleet::NamedWeights& received : named) {
     const auto history = histories_.find(received.model);
@@ -39,7 +39,7 @@
   return history != histories_.end() && history->second.raiseFloor(floor, now);
 }
 
-std::vector<fleet::NamedWeights> WeightsTargets::known(MonotonicTime now) const {
+std::vector<fleet::NamedWeights> WeightsTargets::exportNamings(MonotonicTime now) const {
   std::vector<fleet::NamedWeights> received;
   for (const auto& [model, history] : histories_) {
     if (auto named = history.exportNamings(model, terms_, now)) {
@@ -57,22 +57,22 @@
   return history->newest();
 }
 
-WeightsVersion WeightsTargets::least(const ModelId& model, MonotonicTime now) const {
+WeightsVersion WeightsTargets::leastSendable(const ModelId& model, MonotonicTime now) const {
   const WeightsHistory* history = historyOf(model);
   return history == nullptr ? WeightsVersion() : history->leastSendable(terms_, now);
 }
 
-WeightsVersion WeightsTargets::leastWaiting(const ModelId& model, MonotonicTime now) const {
+WeightsVersion WeightsTargets::leastWaitable(const ModelId& model, MonotonicTime now) const {
   const WeightsHistory* history = historyOf(model);
   return history == nullptr ? WeightsVersion() : history->leastWaitable(terms_, now);
 }
 
-WeightsVersion WeightsTargets::certainLeast(const ModelId& model, MonotonicTime now) const {
+WeightsVersion WeightsTargets::confirmedLeast(const ModelId& model, MonotonicTime now) const {
   const WeightsHistory* history = historyOf(model);
   return history == nullptr ? WeightsVersion() : history->confirmedLeast(terms_, now);
 }
 
-std::optional<MonotonicTime> WeightsTargets::nextEnd(MonotonicTime now) const {
+std::optional<MonotonicTime> WeightsTargets::nextExpiry(MonotonicTime now) const {
   std::optional<MonotonicTime> next;
   for (const auto& [model, history] : histories_) {
     if (const auto end = history.nextExpiry(terms_, now)) {
--- a/src/weights/weights_targets.h
+++ b/src/weights/weights_targets.h
@@ -14,11 +14,11 @@
 
 /// The weights that were named for each model, and since when each older version is outdated.
 ///
-/// Invariant: least() of a model is not below any version that was known for longer than the send
-/// term, and leastWaiting() not below any known for longer than the wait term. No request begins on
-/// a version whose successor is older than the bound: no request is sent there after the send term
-/// and none waits there after the wait term, whatever the assumed state of the server's queue and
-/// whenever this node started (see WeightsHistory).
+/// Invariant: leastSendable() of a model is not below any version that was known for longer than
+/// the send term, and leastWaitable() not below any known for longer than the wait term. No request
+/// begins on a version whose successor is older than the bound: no request is sent there after the
+/// send term and none waits there after the wait term, whatever the assumed state of the server's
+/// queue and whenever this node started (see WeightsHistory).
 class WeightsTargets {
  public:
   /// @param startedAt when this node started.
@@ -28,35 +28,35 @@
   /// Adds a version that was named while this node watched.
   /// @param maxDelay maximum time between the naming and `now`, beyond what the terms' margin
   /// allows for.
-  void name(const ModelId& model, WeightsVersion version, MonotonicTime now,
-            Milliseconds maxDelay = Milliseconds(0));
+  void addObserved(const ModelId& model, WeightsVersion version, MonotonicTime now,
+                   Milliseconds maxDelay = Milliseconds(0));
   /// Adds a discovered version that may have been named long before. Unless another node provides
-  /// its age, older versions are used for at most kFoundTerm after this node's start, or after
+  /// its age, older versions are used for at most kDiscoveredTerm after this node's start, or after
   /// `now` if it has watched before.
   /// @param provenAt time before which no version newer than the known ones was named; the clock's
   /// epoch if nothing was read yet.
-  void find(const ModelId& model, WeightsVersion version, MonotonicTime provenAt,
-            MonotonicTime now);
+  void addDiscovered(const ModelId& model, WeightsVersion version, MonotonicTime provenAt,
+                     MonotonicTime now);
   /// Merges what another node knows.
   /// @return whether anything has changed.
-  bool learn(const std::vector<fleet::NamedWeights>& named, MonotonicTime now);
+  bool merge(const std::vector<fleet::NamedWeights>& named, MonotonicTime now);
   /// Applies a floor read from the store: no request may be sent to versions of the model below it
   /// any more. Does nothing for a model without a known version.
   /// @return whether the floor is new.
   bool raiseFloor(const ModelId& model, WeightsVersion floor, MonotonicTime now);
   /// The namings that this node can report to others.
-  std::vector<fleet::NamedWeights> known(MonotonicTime now) const;
+  std::vector<fleet::NamedWeights> exportNamings(MonotonicTime now) const;
   /// Newest version of the model; empty if none was named.
   std::optional<WeightsVersion> newest(const ModelId& model) const;
   /// Lowest version to which a request may be sent now.
-  WeightsVersion least(const ModelId& model, MonotonicTime now) const;
+  WeightsVersion leastSendable(const ModelId& model, MonotonicTime now) const;
   /// Lowest version for which a request may still wait to begin.
-  WeightsVersion leastWaiting(const ModelId& model, MonotonicTime now) const;
-  /// Lowest version to which any node may send a request now. It is at most least(), which may be
-  /// higher only because this node doesn't know when versions were named.
-  WeightsVersion certainLeast(const ModelId& model, MonotonicTime now) const;
+  WeightsVersion leastWaitable(const ModelId& model, MonotonicTime now) const;
+  /// Lowest version to which any node may send a request now. It is at most leastSendable(), which
+  /// may be higher only because this node doesn't know when versions were named.
+  WeightsVersion confirmedLeast(const ModelId& model, MonotonicTime now) const;
   /// When the next term of any version ends; empty if none is pending.
-  std::optional<MonotonicTime> nextEnd(MonotonicTime now) const;
+  std::optional<MonotonicTime> nextExpiry(MonotonicTime now) const;
   /// Since when a version newer than `version` is known; empty if it is the newest.
   std::optional<MonotonicTime> outdatedSince(const ModelId& model, WeightsVersion version) const;
   /// When this node learned of a version newer than `version`; empty if it is the newest.
@@ -73,7 +73,7 @@
   /// counted from the reading of the naming instead of the start, requests began up to 12.9 s after
   /// a naming where 8 s are allowed, as the reading may come seconds after the start; with half the
   /// send term in its place, up to 13.5 s.
-  static constexpr Milliseconds kFoundTerm{1500};
+  static constexpr Milliseconds kDiscoveredTerm{1500};
 
  private:
   const WeightsHistory* historyOf(const ModelId& model) const;
--- a/tests/exchange/node_exchange_observations_test.cc
+++ b/tests/exchange/node_exchange_observations_test.cc
@@ -50,7 +50,7 @@
                              [](const std::vector<fleet::NamedWeights>&) {},
                              [] { return std::vector<fleet::CacheStoreReport>(); },
                              [](const std::vector<fleet::CacheStoreReport>&) {}};
-    node.ownObservations = [this] { return observer.own(monotonicNow()); };
+    node.ownObservations = [this] { return observer.snapshot(monotonicNow()); };
     node.onObservations = [this](const ObservationTable& seen) {
       ++reports;
       receiveObservations(seen);
@@ -70,7 +70,7 @@
     if (found == seen.end()) {
       return;
     }
-    observer.learnAge(kOrder, found->second.age, monotonicNow());
+    observer.updateAge(kOrder, found->second.age, monotonicNow());
     if (!rejected) {
       ++intervals;
       rejected = found->second.rejected;
@@ -155,7 +155,7 @@
   std::size_t maxIntervals = 0;
   for (std::size_t trial = 0; trial < kTrials; ++trial) {
     for (const auto& node : nodes) {
-      node->observer.keepOnly({});
+      node->observer.retainOnly({});
       node->send(1);
     }
     run(2 * kTerm);
@@ -178,11 +178,11 @@
 }
 
 BOOST_AUTO_TEST_CASE(ageOfAnOrderReachesAllNodes) {
-  leaf(0).observer.learnAge(kOrder, Milliseconds(60'000), monotonicNow());
+  leaf(0).observer.updateAge(kOrder, Milliseconds(60'000), monotonicNow());
   start();
   run(Milliseconds(400));
   for (const auto& node : nodes) {
-    const Milliseconds age = node->observer.own(monotonicNow()).at(kOrder).age;
+    const Milliseconds age = node->observer.snapshot(monotonicNow()).at(kOrder).age;
     BOOST_TEST(age >= Milliseconds(60'000 + 200));
     BOOST_TEST(age < Milliseconds(61'000));
   }
@@ -215,13 +215,13 @@
 
 BOOST_AUTO_TEST_CASE(noObservationsAreReceivedWithoutAnOrder) {
   for (const auto& node : nodes) {
-    node->observer.keepOnly({});
+    node->observer.retainOnly({});
   }
   start();
   run(Milliseconds(300));
   for (const auto& node : nodes) {
     BOOST_TEST(node->others == 0U);
-    BOOST_TEST(node->observer.own(monotonicNow()).empty());
+    BOOST_TEST(node->observer.snapshot(monotonicNow()).empty());
   }
 }
 
--- a/tests/forward/version_forwarding_test.cc
+++ b/tests/forward/version_forwarding_test.cc
@@ -54,7 +54,7 @@
 
 BOOST_AUTO_TEST_CASE(withoutOldServersTheCandidateStillGetsItsShareOnly) {
   service_rollout::CanaryBudget canary(0.05, 1);
-  budget = [&canary] { return canary.take(kOrder, service_rollout::RouteKey(1)); };
+  budget = [&canary] { return canary.assignToCandidate(kOrder, service_rollout::RouteKey(1)); };
   VersionServer& fresh = addServer("new", kNew);
   addServer("old", kOld).crash();
   std::size_t refused = 0;
--- a/tests/gateway/store_views_test.cc
+++ b/tests/gateway/store_views_test.cc
@@ -62,7 +62,7 @@
   node.store.down = false;
   node.runFor(Milliseconds(600));
   BOOST_REQUIRE((node.targets.newest(kModel) == WeightsVersion(2)));
-  BOOST_TEST((node.targets.leastWaiting(kModel, named + kBound) == WeightsVersion(2)));
+  BOOST_TEST((node.targets.leastWaitable(kModel, named + kBound) == WeightsVersion(2)));
 }
 
 /// A node that starts while another writer's object stands in place of the naming must not take the
@@ -76,10 +76,10 @@
   node.store.set("weights", "m", "m 2");
   node.runFor(Milliseconds(100));
   BOOST_REQUIRE((node.targets.newest(kModel) == WeightsVersion(2)));
-  const MonotonicTime foundEnd = back + weights::WeightsTargets::kFoundTerm;
-  BOOST_TEST((node.targets.least(kModel, foundEnd) == WeightsVersion(2)));
-  BOOST_TEST((node.targets.leastWaiting(kModel, foundEnd) == WeightsVersion(2)));
-  BOOST_TEST(node.targets.known(back).empty());
+  const MonotonicTime foundEnd = back + weights::WeightsTargets::kDiscoveredTerm;
+  BOOST_TEST((node.targets.leastSendable(kModel, foundEnd) == WeightsVersion(2)));
+  BOOST_TEST((node.targets.leastWaitable(kModel, foundEnd) == WeightsVersion(2)));
+  BOOST_TEST(node.targets.exportNamings(back).empty());
 }
 
 /// What was named while the object could not be read may have been named just after the last time
@@ -95,8 +95,8 @@
   node.store.set("weights", "m", "m 2");
   node.runFor(Milliseconds(100));
   BOOST_REQUIRE((node.targets.newest(kModel) == WeightsVersion(2)));
-  BOOST_TEST((node.targets.least(kModel, readable + kTerms.send) == WeightsVersion(2)));
-  BOOST_TEST((node.targets.leastWaiting(kModel, readable + kTerms.wait) == WeightsVersion(2)));
+  BOOST_TEST((node.targets.leastSendable(kModel, readable + kTerms.send) == WeightsVersion(2)));
+  BOOST_TEST((node.targets.leastWaitable(kModel, readable + kTerms.wait) == WeightsVersion(2)));
 }
 
 /// Where nothing was named for a model, there is no object. The naming that makes it is as new as
@@ -112,9 +112,9 @@
   BOOST_REQUIRE((node.targets.newest(kModel) == WeightsVersion(2)));
   // But for what the view's proof was old by.
   const MonotonicTime nearEnd = named + kTerms.send - Milliseconds(300);
-  BOOST_TEST((node.targets.least(kModel, nearEnd) == WeightsVersion()));
-  BOOST_TEST(
-      (node.targets.least(kModel, named + kTerms.send + Milliseconds(100)) == WeightsVersion(2)));
+  BOOST_TEST((node.targets.leastSendable(kModel, nearEnd) == WeightsVersion()));
+  BOOST_TEST((node.targets.leastSendable(kModel, named + kTerms.send + Milliseconds(100)) ==
+              WeightsVersion(2)));
 }
 
 /// The recorder would write to it again and again.
--- a/tests/gateway/weights_floor_test.cc
+++ b/tests/gateway/weights_floor_test.cc
@@ -65,10 +65,10 @@
   const WeightsSchema schema;
   const MonotonicTime now = monotonicNow();
   weights::WeightsTargets targets(kTerms, now);
-  targets.name(kFirst, WeightsVersion(2), now - kTerms.send);
-  targets.name(kSecond, WeightsVersion(2), now - kTerms.send);
+  targets.addObserved(kFirst, WeightsVersion(2), now - kTerms.send);
+  targets.addObserved(kSecond, WeightsVersion(2), now - kTerms.send);
   // Its term ends a moment after the recorder's look.
-  targets.name(kSecond, WeightsVersion(3), now - kTerms.send + Milliseconds(150));
+  targets.addObserved(kSecond, WeightsVersion(3), now - kTerms.send + Milliseconds(150));
   store.write("a", WeightsVersion());
   store.write("b", WeightsVersion());
   WeightsFloorRecorder recorder(
--- a/tests/service_rollout/judge_scenario.h
+++ b/tests/service_rollout/canary_analyzer_scenario.h
@@ -9,9 +9,9 @@
 #include <random>
 #include <vector>
 
-#include "service_rollout/judge.h"
+#include "service_rollout/canary_analyzer.h"
 
-/// Simulated orders with random answers of both versions, for the tests of the judge.
+/// Simulated orders with random answers of both versions, for the tests of the canary analyzer.
 namespace calicodrift::service_rollout {
 
 /// How some answers of a version differ from a sound version's.
@@ -140,12 +140,12 @@
 };
 
 inline ScenarioResult runWithJudge(const Scenario& scenario, std::uint64_t seed) {
-  Judge judge{JudgeSettings()};
-  ScenarioResult result =
-      ScenarioRunner(scenario, seed).run([&judge](const OrderObservations& sum, MonotonicTime now) {
-        return judge.update(sum, now) == Verdict::kBad;
-      });
-  result.verdict = judge.verdict();
+  CanaryAnalyzer analyzer{CanaryAnalyzerSettings()};
+  ScenarioResult result = ScenarioRunner(scenario, seed)
+                              .run([&analyzer](const OrderObservations& sum, MonotonicTime now) {
+                                return analyzer.update(sum, now) == Verdict::kBad;
+                              });
+  result.verdict = analyzer.verdict();
   return result;
 }
 
--- a/tests/service_rollout/judge_table_test.cc
+++ b/tests/service_rollout/canary_analyzer_table_test.cc
@@ -4,7 +4,7 @@
 #include <sstream>
 #include <string>
 
-#include "judge_scenario.h"
+#include "canary_analyzer_scenario.h"
 
 /// Produces the table of docs/design/service-rollouts.md: probabilities of detecting a bad version,
 /// compared with another method. JUDGE_TABLE_ORDERS sets the number of simulated orders for each
@@ -37,7 +37,7 @@
  private:
   using Samples = std::array<RouteSample, kTrackCount>;
   static constexpr std::size_t kTicks = 50;
-  /// As strict as the judge's threshold, e^-12.
+  /// As strict as the canary analyzer's threshold, e^-12.
   static constexpr double kMinProbability = 6e-6;
   inline static const RouteKey kAll{0};
 
--- a/tests/service_rollout/judge_test.cc
+++ b/tests/service_rollout/canary_analyzer_test.cc
@@ -1,8 +1,8 @@
-#include "service_rollout/judge.h"
+#include "service_rollout/canary_analyzer.h"
 
 #include <boost/test/unit_test.hpp>
 
-#include "judge_scenario.h"
+#include "canary_analyzer_scenario.h"
 
 namespace calicodrift::service_rollout {
 namespace {
@@ -127,11 +127,11 @@
 }
 
 BOOST_AUTO_TEST_CASE(candidateWhoseServersCrashStaysUndecided) {
-  Judge judge{JudgeSettings()};
+  CanaryAnalyzer analyzer{CanaryAnalyzerSettings()};
   for (int tick = 1; tick < 300; ++tick) {
     OrderObservations seen = seenWith(0, 0);
     seen.routes[RouteKey(0xab)][0].answered *= static_cast<std::uint32_t>(tick);
-    BOOST_TEST((judge.update(seen, kNow + Milliseconds(100 * tick)) == Verdict::kUndecided));
+    BOOST_TEST((analyzer.update(seen, kNow + Milliseconds(100 * tick)) == Verdict::kUndecided));
   }
 }
 
@@ -142,11 +142,11 @@
 }
 
 BOOST_AUTO_TEST_CASE(candidateIsNotJudgedWithoutABaseline) {
-  Judge judge{JudgeSettings()};
+  CanaryAnalyzer analyzer{CanaryAnalyzerSettings()};
   OrderObservations seen = seenWith(30, 30);
   seen.routes[RouteKey(0xab)][0] = {};
-  BOOST_TEST((judge.update(seen, kNow) == Verdict::kUndecided));
-  BOOST_TEST(judge.evidence() == 0.0);
+  BOOST_TEST((analyzer.update(seen, kNow) == Verdict::kUndecided));
+  BOOST_TEST(analyzer.evidence() == 0.0);
 }
 
 BOOST_AUTO_TEST_CASE(answersWithoutTimesAreNotJudgedForSpeed) {
@@ -169,7 +169,7 @@
 
 BOOST_AUTO_TEST_CASE(intermittentSumsDoNotRejectASoundVersion) {
   for (std::size_t seed = 0; seed < 300; ++seed) {
-    Judge judge{JudgeSettings()};
+    CanaryAnalyzer analyzer{CanaryAnalyzerSettings()};
     Scenario scenario;
     scenario.nodes = 2;
     scenario.seconds = 12;
@@ -179,7 +179,7 @@
     const ScenarioResult result =
         ScenarioRunner(scenario, seed).run([&](const OrderObservations& sum, MonotonicTime now) {
           const bool heard = random() % 10 != 0;
-          return judge.update(heard ? sum : kept, now) == Verdict::kBad;
+          return analyzer.update(heard ? sum : kept, now) == Verdict::kBad;
         });
     BOOST_TEST(!result.rejectedAt);
   }
@@ -189,7 +189,7 @@
   constexpr int kTicks = 30;
   constexpr int kDuplicateTicks = 10;
   for (std::size_t seed = 0; seed < 300; ++seed) {
-    Judge judge{JudgeSettings()};
+    CanaryAnalyzer analyzer{CanaryAnalyzerSettings()};
     Scenario scenario;
     scenario.seconds = 12;
     // The old parent's sums keep the last report of a subtree that has left it.
@@ -203,41 +203,41 @@
           if (tick % kTicks < kDuplicateTicks) {
             sum += lastReport;
           }
-          return judge.update(sum, now) == Verdict::kBad;
+          return analyzer.update(sum, now) == Verdict::kBad;
         });
     BOOST_TEST(!result.rejectedAt);
   }
 }
 
 BOOST_AUTO_TEST_CASE(rejectionIsFinal) {
-  Judge judge{JudgeSettings()};
-  BOOST_TEST((judge.update(seenWith(0, 0), kNow) == Verdict::kUndecided));
-  BOOST_TEST((judge.update(seenWith(50, 25), kNow + Milliseconds(100)) == Verdict::kBad));
-  const std::string text = judge.explain();
-  const double evidence = judge.evidence();
-  BOOST_TEST((judge.update(seenWith(5000, 25), kNow + Milliseconds(200)) == Verdict::kBad));
-  BOOST_TEST(judge.explain() == text);
-  BOOST_TEST(judge.evidence() == evidence);
+  CanaryAnalyzer analyzer{CanaryAnalyzerSettings()};
+  BOOST_TEST((analyzer.update(seenWith(0, 0), kNow) == Verdict::kUndecided));
+  BOOST_TEST((analyzer.update(seenWith(50, 25), kNow + Milliseconds(100)) == Verdict::kBad));
+  const std::string text = analyzer.explain();
+  const double evidence = analyzer.evidence();
+  BOOST_TEST((analyzer.update(seenWith(5000, 25), kNow + Milliseconds(200)) == Verdict::kBad));
+  BOOST_TEST(analyzer.explain() == text);
+  BOOST_TEST(analyzer.evidence() == evidence);
 }
 
 BOOST_AUTO_TEST_CASE(rejectionByAnotherNodeIsAdopted) {
-  Judge judge{JudgeSettings()};
+  CanaryAnalyzer analyzer{CanaryAnalyzerSettings()};
   OrderObservations seen = seenWith(1, 0);
   seen.rejected = true;
-  BOOST_TEST((judge.update(seen, kNow) == Verdict::kBad));
-  BOOST_TEST(judge.explain().find("another node") != std::string::npos);
+  BOOST_TEST((analyzer.update(seen, kNow) == Verdict::kBad));
+  BOOST_TEST(analyzer.explain().find("another node") != std::string::npos);
 }
 
 BOOST_AUTO_TEST_CASE(explanationNamesRouteTestAndCounts) {
-  Judge judge{JudgeSettings()};
-  judge.update(seenWith(0, 0), kNow);
-  judge.update(seenWith(20, 10), kNow + Milliseconds(100));
-  BOOST_TEST(judge.explain() ==
+  CanaryAnalyzer analyzer{CanaryAnalyzerSettings()};
+  analyzer.update(seenWith(0, 0), kNow);
+  analyzer.update(seenWith(20, 10), kNow + Milliseconds(100));
+  BOOST_TEST(analyzer.explain() ==
              "many failures on all routes: 10 of 20 answers, 1.0% expected, ratio 22.9 of 12.0; "
              "candidate 10 of 20 failed, stable 0 of 200");
-  BOOST_TEST(judge.evidence() > 22.8);
-  BOOST_TEST(Judge{JudgeSettings()}.explain().find("no evidence against the candidate") !=
-             std::string::npos);
+  BOOST_TEST(analyzer.evidence() > 22.8);
+  BOOST_TEST(CanaryAnalyzer{CanaryAnalyzerSettings()}.explain().find(
+                 "no evidence against the candidate") != std::string::npos);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/service_rollout/canary_budget_test.cc
+++ b/tests/service_rollout/canary_budget_test.cc
@@ -32,7 +32,7 @@
       if (restarts && node % 3 == 0 && request == requests / 2) {
         budget = CanaryBudget(kShare, random());
       }
-      spent += budget.take(kOrder, kRoute) ? 1 : 0;
+      spent += budget.assignToCandidate(kOrder, kRoute) ? 1 : 0;
     }
     const double maxExposed = kShare * static_cast<double>(requests) + (restarts ? 2 : 1);
     result.withinEachAccount = result.withinEachAccount && static_cast<double>(spent) <= maxExposed;
@@ -83,7 +83,7 @@
   for (int request = 0; request < 1000; ++request) {
     // Nine of ten requests are on one route.
     const std::uint64_t route = request % 10 == 0 ? 1 : 0;
-    exposed[route] += budget.take(kOrder, RouteKey(route)) ? 1 : 0;
+    exposed[route] += budget.assignToCandidate(kOrder, RouteKey(route)) ? 1 : 0;
   }
   BOOST_TEST((exposed[0] == 45 || exposed[0] == 46));
   BOOST_TEST((exposed[1] == 5 || exposed[1] == 6));
@@ -93,12 +93,12 @@
   CanaryBudget budget(0.5, 1);
   int exposed = 0;
   for (int request = 0; request < 100; ++request) {
-    exposed += budget.take(kOrder, kRoute) ? 1 : 0;
+    exposed += budget.assignToCandidate(kOrder, kRoute) ? 1 : 0;
   }
   budget.setShare(0.01);
   int later = 0;
   for (int request = 0; request < 1000; ++request) {
-    later += budget.take(kOrder, kRoute) ? 1 : 0;
+    later += budget.assignToCandidate(kOrder, kRoute) ? 1 : 0;
   }
   BOOST_TEST((exposed == 50 || exposed == 51));
   BOOST_TEST((later >= 9 && later <= 11));
@@ -109,8 +109,8 @@
   int first = 0;
   int second = 0;
   for (int request = 0; request < 1000; ++request) {
-    first += budget.take(kOrder, kRoute) ? 1 : 0;
-    second += budget.take(OrderKey(8), kRoute) ? 1 : 0;
+    first += budget.assignToCandidate(kOrder, kRoute) ? 1 : 0;
+    second += budget.assignToCandidate(OrderKey(8), kRoute) ? 1 : 0;
   }
   BOOST_TEST((first == 50 || first == 51));
   BOOST_TEST((second == 50 || second == 51));
@@ -119,7 +119,7 @@
 BOOST_AUTO_TEST_CASE(accountsOfPastOrdersAreDropped) {
   CanaryBudget budget(1, 1);
   for (std::uint64_t order = 1; order <= 1000; ++order) {
-    BOOST_TEST(budget.take(OrderKey(order), kRoute));
+    BOOST_TEST(budget.assignToCandidate(OrderKey(order), kRoute));
   }
   BOOST_TEST(budget.orders() == CanaryBudget::kMaxOrders);
 }
@@ -130,7 +130,7 @@
   const RouteKey route(9);
   std::size_t granted = 0;
   for (int number = 0; number < 1000; ++number) {
-    granted += budget.take(order, route) ? 1 : 0;
+    granted += budget.assignToCandidate(order, route) ? 1 : 0;
     budget.refund(order, route);
   }
   BOOST_TEST(granted <= 1U);
--- a/tests/service_rollout/metrics_test.cc
+++ b/tests/service_rollout/metrics_test.cc
@@ -35,7 +35,7 @@
 BOOST_FIXTURE_TEST_SUITE(rollout_metrics, MetricsFixture)
 
 BOOST_AUTO_TEST_CASE(rolloutInProgressIsShownWithItsFigures) {
-  metrics.show({bakingStatus()});
+  metrics.setStatuses({bakingStatus()});
   for (const std::string_view label :
        {"candidate=\"2\"", "phase=\"baking\"", "service=\"quotes\"", "stable=\"1\"",
         "state=\"running\"", "target=\"2\"", "use=\"canary\"", "verdict=\"undecided\""}) {
@@ -47,21 +47,21 @@
 }
 
 BOOST_AUTO_TEST_CASE(changedStatusReplacesThePreviousOne) {
-  metrics.show({bakingStatus()});
+  metrics.setStatuses({bakingStatus()});
   RolloutStatus ended = bakingStatus();
   ended.phase = Phase::kSteady;
   ended.candidate = SoftwareVersion();
   ended.use = CandidateUse::kNothing;
   ended.state = OrderState::kRolledBack;
-  metrics.show({ended});
+  metrics.setStatuses({ended});
   BOOST_TEST(shows("state=\"rolled_back\""));
   BOOST_TEST(!shows("phase=\"baking\""));
   BOOST_TEST(!shows("calicodrift_service_rollout_exposed{"));
 }
 
 BOOST_AUTO_TEST_CASE(removedServiceIsNoLongerShown) {
-  metrics.show({bakingStatus()});
-  metrics.show({});
+  metrics.setStatuses({bakingStatus()});
+  metrics.setStatuses({});
   BOOST_TEST(!shows("quotes"));
 }
 
--- a/tests/service_rollout/observer_test.cc
+++ b/tests/service_rollout/observer_test.cc
@@ -47,7 +47,7 @@
   slow.paceRatio = 1.0;
   observer.onAnswer(kOrder, slow);
   observer.onAnswer(kOrder, answerOf(Track::kStable, true));
-  const ObservationTable table = observer.own(kNow);
+  const ObservationTable table = observer.snapshot(kNow);
   BOOST_TEST(table.at(kOrder).reached == 2U);
   BOOST_TEST(table.at(kOrder).exposed == 1U);
   BOOST_TEST(sampleIn(table, Track::kCandidate).answered == 1U);
@@ -61,25 +61,25 @@
   Observer observer;
   observer.onSent(kOrder, Track::kCandidate);
   observer.onAnswer(kOrder, answerOf(Track::kCandidate));
-  BOOST_TEST((sampleIn(observer.own(kNow), Track::kCandidate).start == RatioHistogram{}));
+  BOOST_TEST((sampleIn(observer.snapshot(kNow), Track::kCandidate).start == RatioHistogram{}));
 }
 
 BOOST_AUTO_TEST_CASE(highestAgeCountsAndGrows) {
   Observer observer;
-  observer.learnAge(kOrder, Milliseconds(500), kNow);
-  observer.learnAge(kOrder, Milliseconds(100), kNow);
-  BOOST_TEST(observer.own(kNow).at(kOrder).age == Milliseconds(500));
-  observer.learnAge(kOrder, Milliseconds(2000), kNow + Milliseconds(1000));
-  BOOST_TEST(observer.own(kNow + Milliseconds(1500)).at(kOrder).age == Milliseconds(2500));
+  observer.updateAge(kOrder, Milliseconds(500), kNow);
+  observer.updateAge(kOrder, Milliseconds(100), kNow);
+  BOOST_TEST(observer.snapshot(kNow).at(kOrder).age == Milliseconds(500));
+  observer.updateAge(kOrder, Milliseconds(2000), kNow + Milliseconds(1000));
+  BOOST_TEST(observer.snapshot(kNow + Milliseconds(1500)).at(kOrder).age == Milliseconds(2500));
 }
 
 BOOST_AUTO_TEST_CASE(orderThatEndedIsDroppedAndItsLateAnswersAreNotCounted) {
   Observer observer;
   observer.onSent(kOrder, Track::kCandidate);
   observer.reject(kOther);
-  observer.keepOnly({kOther});
+  observer.retainOnly({kOther});
   observer.onAnswer(kOrder, answerOf(Track::kCandidate));
-  const ObservationTable table = observer.own(kNow);
+  const ObservationTable table = observer.snapshot(kNow);
   BOOST_TEST(table.size() == 1U);
   BOOST_TEST(table.at(kOther).rejected);
 }
@@ -92,7 +92,7 @@
     answer.route = RouteKey(route);
     observer.onAnswer(kOrder, answer);
   }
-  const ObservationTable table = observer.own(kNow);
+  const ObservationTable table = observer.snapshot(kNow);
   const auto& routes = table.at(kOrder).routes;
   BOOST_TEST(routes.size() == Observer::kMaxRoutes + 1);
   BOOST_TEST(routes.at(Observer::kOverflowRoute)[0].answered == Observer::kMaxRoutes);
@@ -103,14 +103,14 @@
   Observer first;
   first.onSent(kOrder, Track::kStable);
   first.onAnswer(kOrder, answerOf(Track::kStable, true));
-  first.learnAge(kOrder, Milliseconds(700), kNow);
+  first.updateAge(kOrder, Milliseconds(700), kNow);
   Observer second;
   second.onSent(kOrder, Track::kCandidate);
   second.onAnswer(kOrder, answerOf(Track::kStable));
   second.reject(kOrder);
   second.onSent(kOther, Track::kStable);
-  ObservationTable sum = first.own(kNow);
-  addObservations(sum, second.own(kNow));
+  ObservationTable sum = first.snapshot(kNow);
+  addObservations(sum, second.snapshot(kNow));
   BOOST_TEST(sum.size() == 2U);
   BOOST_TEST((sum.at(kOther).order == kOther));
   BOOST_TEST(sum.at(kOrder).reached == 2U);
--- a/tests/service_rollout/plan_completion_test.cc
+++ b/tests/service_rollout/plan_completion_test.cc
@@ -45,16 +45,16 @@
 BOOST_AUTO_TEST_CASE(aShiftGoesOnBeingJudgedUntilTheDeadlineIsNear) {
   startShifting();
   drain();
-  input.seen.age = Milliseconds(6999);
+  input.observations.age = Milliseconds(6999);
   expectNothing("still evaluating");
-  input.seen.age = Milliseconds(7000);
+  input.observations.age = Milliseconds(7000);
   expectRecord(Phase::kSteady, kNew);
 }
 
 BOOST_AUTO_TEST_CASE(aShiftIsJudgedUnderAllOfTheTrafficAlsoPastTheDeadline) {
   startShifting();
   drain();
-  input.seen.age = Milliseconds(8500);
+  input.observations.age = Milliseconds(8500);
   input.phaseAge = Milliseconds(999);
   expectNothing("still evaluating");
   input.phaseAge = Milliseconds(1000);
@@ -94,7 +94,7 @@
 BOOST_AUTO_TEST_CASE(aHolderThatKnowsNoAgeCompletesAShiftAfterTheLongestBudget) {
   startShifting();
   drain();
-  input.seen = {};
+  input.observations = {};
   input.verdict = Verdict::kUndecided;
   input.phaseAge = Milliseconds(2999);
   expectNothing("still evaluating");
--- a/tests/service_rollout/plan_fixture.h
+++ b/tests/service_rollout/plan_fixture.h
@@ -83,11 +83,11 @@
   /// Sets the sums of all nodes for the record's order.
   void observe(Verdict verdict, Milliseconds age) {
     input.verdict = verdict;
-    input.seen = {};
-    input.seen.order = keyOf(*input.record);
-    input.seen.age = age;
-    input.seen.reached = 1600;
-    input.seen.exposed = 80;
+    input.observations = {};
+    input.observations.order = keyOf(*input.record);
+    input.observations.age = age;
+    input.observations.reached = 1600;
+    input.observations.exposed = 80;
   }
   void startBaking() {
     settle();
--- a/tests/service_rollout/plan_test.cc
+++ b/tests/service_rollout/plan_test.cc
@@ -95,7 +95,7 @@
   startBaking();
   observe(Verdict::kBad, Milliseconds(2000));
   expectSettledAs(OrderState::kRolledBack, kOld);
-  const OrderKey before = input.seen.order;
+  const OrderKey before = input.observations.order;
   placeOrder(kNew);
   expectRecord(Phase::kBaking, kOld, kNew);
   settle();
@@ -270,14 +270,14 @@
 BOOST_AUTO_TEST_CASE(aRejectionByAnotherNodeRollsBackInEachPhase) {
   startBaking();
   observe(Verdict::kSound, Milliseconds(2000));
-  input.seen.rejected = true;
+  input.observations.rejected = true;
   expectRecord(Phase::kSteady, kOld);
   expectSettledAs(OrderState::kRolledBack, kOld);
 
   PlanFixture shifting;
   shifting.startShifting();
   shifting.drain();
-  shifting.input.seen.rejected = true;
+  shifting.input.observations.rejected = true;
   shifting.expectRecord(Phase::kSteady, kOld);
   shifting.expectSettledAs(OrderState::kRolledBack, kOld);
 }
@@ -285,11 +285,11 @@
 BOOST_AUTO_TEST_CASE(aVerdictOnAnotherOrderCountsForNothing) {
   startBaking();
   observe(Verdict::kBad, Milliseconds(9000));
-  input.seen.order = OrderKey(1);
-  input.seen.rejected = true;
+  input.observations.order = OrderKey(1);
+  input.observations.rejected = true;
   expectNothing("too few answers");
   input.verdict = Verdict::kSound;
-  input.seen.rejected = false;
+  input.observations.rejected = false;
   expectNothing("too few answers");
 }
 
@@ -315,17 +315,17 @@
 BOOST_AUTO_TEST_CASE(aSoundVersionWithoutExposureLeftIsShiftedAtTheDeadline) {
   startBaking();
   observe(Verdict::kSound, Milliseconds(7999));
-  input.seen.exposed = 190;
+  input.observations.exposed = 190;
   BOOST_TEST(shiftBudget(input, settings).count() == 0);
   expectNothing("near the deadline");
-  input.seen.age = Milliseconds(8000);
+  input.observations.age = Milliseconds(8000);
   expectRecord(Phase::kShifting, kOld, kNew);
 }
 
 BOOST_AUTO_TEST_CASE(aVersionThatIsFoundSoundPastTheDeadlineIsStillShifted) {
   startBaking();
   observe(Verdict::kSound, Milliseconds(30'000));
-  input.seen.exposed = 1000;
+  input.observations.exposed = 1000;
   expectRecord(Phase::kShifting, kOld, kNew);
 }
 
--- a/tests/service_rollout/rollout_controller_test.cc
+++ b/tests/service_rollout/rollout_controller_test.cc
@@ -152,9 +152,9 @@
     view_.candidateServers = 7;
     view_.stableInFlight = stableInFlight;
     view_.verdict = verdict;
-    view_.seen.age = age;
+    view_.observations.age = age;
     if (view_.record) {
-      view_.seen.order = keyOf(*view_.record);
+      view_.observations.order = keyOf(*view_.record);
     }
     if (afterInputs) {
       afterInputs();
--- a/tests/service_rollout/traffic_rules_test.cc
+++ b/tests/service_rollout/traffic_rules_test.cc
@@ -154,7 +154,7 @@
 
 BOOST_AUTO_TEST_CASE(severalVersionsGetNothingBeforeTheOrdersWereRead) {
   Rules rules;
-  rules.hold(kService);
+  rules.blockTraffic(kService);
   BOOST_TEST((rules.rule().stable != kOld));
   BOOST_TEST((rules.rule().stable != kNew));
   BOOST_TEST(!rules.rule().stable.value().empty());
--- a/tests/weights/weights_history_random_test.cc
+++ b/tests/weights/weights_history_random_test.cc
@@ -116,7 +116,7 @@
     for (const Message& message : messages_) {
       Node& to = nodes_[message.to];
       if (message.at <= now && message.incarnation == to.incarnation && to.targets) {
-        to.targets->learn(message.named, now);
+        to.targets->merge(message.named, now);
       }
     }
     std::erase_if(messages_, [now](const Message& message) { return message.at <= now; });
@@ -147,13 +147,13 @@
     const bool isNew = node.targets->newest(kModel) < newest;
     if (isNew && (isFirst || gap || relists)) {
       node.discoveredAt = now;
-      node.targets->find(kModel, newest, node.provenAt, now);
+      node.targets->addDiscovered(kModel, newest, node.provenAt, now);
     } else if (isNew) {
-      node.targets->name(kModel, newest, now);
+      node.targets->addObserved(kModel, newest, now);
     }
     node.targets->raiseFloor(kModel, floor_, now);
     if (persistsFloor_) {
-      floor_ = std::max(floor_, node.targets->certainLeast(kModel, now));
+      floor_ = std::max(floor_, node.targets->confirmedLeast(kModel, now));
     }
     node.provenSince = isFirst || gap ? now : node.provenSince;
     node.provenAt = state;
@@ -162,7 +162,7 @@
     Node& node = nodes_[index];
     node.nextBroadcastAt =
         now + Milliseconds(100 + randomBelow(kMaxBroadcastInterval.count() - 100));
-    const auto named = node.targets->known(now);
+    const auto named = node.targets->exportNamings(now);
     for (std::size_t to = 0; to < nodes_.size(); ++to) {
       if (to != index && (index == 0 || randomBelow(2) == 0)) {
         messages_.push_back({now + Milliseconds(randomBelow(kMaxMessageDelay.count())), to,
@@ -175,21 +175,22 @@
     return std::prev(namings_.upper_bound(time))->second;
   }
   std::string checkInvariants(const Node& node, MonotonicTime now) const {
-    const Milliseconds found = WeightsTargets::kFoundTerm + kStep;
+    const Milliseconds found = WeightsTargets::kDiscoveredTerm + kStep;
     if (!node.targets || node.provenAt == MonotonicTime{} ||
         now - node.provenAt > kDiscoveryThreshold) {
       return {};
     }
     if (now - node.upAt > found && now - node.provenSince > found) {
-      if (node.targets->least(kModel, now) < namedBefore(now - kTerms.send - kTolerance)) {
+      if (node.targets->leastSendable(kModel, now) < namedBefore(now - kTerms.send - kTolerance)) {
         return "requests are sent to outdated weights";
       }
-      if (node.targets->leastWaiting(kModel, now) < namedBefore(now - kTerms.wait - kTolerance)) {
+      if (node.targets->leastWaitable(kModel, now) < namedBefore(now - kTerms.wait - kTolerance)) {
         return "requests wait for outdated weights";
       }
     }
     const Milliseconds propagationTime = kMaxBroadcastInterval + kMaxMessageDelay + found;
-    const bool early = node.targets->least(kModel, now) > namedBefore(now - kTerms.send + kStep);
+    const bool early =
+        node.targets->leastSendable(kModel, now) > namedBefore(now - kTerms.send + kStep);
     if (firstNodeStable_ && now - node.discoveredAt > propagationTime && early) {
       return "weights are abandoned too soon";
     }
