--- a/src/bench/claims.cc
+++ b/src/bench/claims.cc
@@ -39,13 +39,13 @@
   };
 }
 
-claims::ClaimTime claimTimeNow() {
+claims::ClockReading clockReadingNow() {
   const auto wall = std::chrono::duration_cast<Milliseconds>(wallNow().time_since_epoch());
   return {monotonicNow(), static_cast<std::uint64_t>(wall.count())};
 }
 
 ClaimKey makeKey(std::mt19937_64& random) {
-  const std::string text = claims::makeUuidV7(claimTimeNow().wall, random(), random());
+  const std::string text = claims::makeUuidV7(clockReadingNow().wall, random(), random());
   return claims::parseClaimKey(TenantId("t"), text).value();
 }
 
@@ -70,7 +70,8 @@
   requests.reserve(static_cast<std::size_t>(records));
   payloads.reserve(static_cast<std::size_t>(records));
   for (std::int64_t index = 0; index < records; ++index) {
-    const claims::ClaimRequest request{Epoch(1), makeKey(random), {claimTimeNow().wall, random()}};
+    const claims::ClaimRequest request{
+        Epoch(1), makeKey(random), {clockReadingNow().wall, random()}};
     requests.push_back(request);
     payloads.push_back(peer::encode(claims::ClaimMessage(request)));
   }
@@ -78,12 +79,12 @@
   const std::size_t before = mallinfo2().uordblks;
   Clock::time_point begin = Clock::now();
   for (const claims::ClaimRequest& request : requests) {
-    replica.vote(request, claimTimeNow().wall);
+    replica.vote(request, clockReadingNow().wall);
   }
   const double voteMicroseconds = microsecondsSince(begin) / count;
   const std::size_t held = mallinfo2().uordblks;
   for (const claims::ClaimRequest& request : requests) {
-    replica.complete(typicalOutcome(request), claimTimeNow().wall);
+    replica.complete(typicalOutcome(request), clockReadingNow().wall);
   }
   const std::size_t completed = mallinfo2().uordblks;
   begin = Clock::now();
@@ -91,7 +92,7 @@
   for (const std::string& payload : payloads) {
     const auto message = peer::decode<claims::ClaimMessage>(payload);
     const auto& request = std::get<claims::ClaimRequest>(message.value());
-    claims::ClaimReply reply = replica.vote(request, claimTimeNow().wall);
+    claims::ClaimReply reply = replica.vote(request, clockReadingNow().wall);
     reply.replica = NodeId("router-1");
     replyBytes = peer::encode(claims::ClaimMessage(reply)).size();
   }
@@ -152,7 +153,7 @@
       directories_.push_back(std::make_unique<FixedDirectory>(infos_, index));
       nodes_.push_back(std::make_unique<claims::ClaimNode>(settings, *transports_[index],
                                                            *directories_[index], *store_, metrics_,
-                                                           claimTimeNow, index));
+                                                           clockReadingNow, index));
       nodes_.back()->tick();
     }
   }
@@ -185,7 +186,7 @@
 
 json::object measureLoopback(std::int64_t claims) {
   claims::ClaimSettings settings;
-  settings.clockBound = Milliseconds(1);
+  settings.maxClockSkew = Milliseconds(1);
   settings.maxRecords = static_cast<std::size_t>(claims) + 1;
   LoopbackFleet fleet(settings);
   std::mt19937_64 random(2);
--- a/src/claims/claim_messages.h
+++ b/src/claims/claim_messages.h
@@ -25,12 +25,12 @@
   std::uint32_t status = 0;
   std::string contentType;
   /// False if the body exceeded kMaxStoredBodyBytes and was not stored.
-  bool bodyKept = false;
+  bool bodyStored = false;
   std::string body;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(status, contentType, bodyKept, body);
+    archive(status, contentType, bodyStored, body);
   }
 };
 
--- a/src/claims/claim_node.cc
+++ b/src/claims/claim_node.cc
@@ -26,7 +26,9 @@
       viewAgent_(
           settings_, directory, store,
           [this](const Endpoint& to, const ClaimMessage& message) { send(to, message); },
-          [this](std::size_t group, ClaimTime now) { replica_.startVoteHistory(group, now.wall); },
+          [this](std::size_t group, ClockReading now) {
+            replica_.startVoteHistory(group, now.wall);
+          },
           clock_()),
       proposer_(
           settings_, viewAgent_,
@@ -37,7 +39,7 @@
 }
 
 void ClaimNode::tick() {
-  const ClaimTime now = clock_();
+  const ClockReading now = clock_();
   viewAgent_.tick(now);
   proposer_.tick(now);
   replica_.prune(now.wall);
@@ -96,7 +98,7 @@
 }
 
 void ClaimNode::dispatch(const Endpoint& from, const ClaimMessage& message) {
-  const ClaimTime now = clock_();
+  const ClockReading now = clock_();
   const Overloaded handlers{
       [&](const ClaimRequest& request) {
         viewAgent_.observeEpoch(from, request.epoch);
--- a/src/claims/claim_node.h
+++ b/src/claims/claim_node.h
@@ -15,7 +15,7 @@
 /// no I/O of its own and is not thread-safe.
 class ClaimNode {
  public:
-  using Clock = std::function<ClaimTime()>;
+  using Clock = std::function<ClockReading()>;
 
   /// @param seed makes attempt tokens unique; must differ for every node and every process start.
   ClaimNode(const ClaimSettings& settings, peer::Transport& transport,
--- a/src/claims/claim_proposer.cc
+++ b/src/claims/claim_proposer.cc
@@ -37,8 +37,8 @@
                              std::uint64_t seed)
     : settings_(settings), viewAgent_(views), sender_(std::move(sender)), random_(seed) {}
 
-void ClaimProposer::claim(const ClaimKey& key, ClaimTime now, Done done) {
-  const auto bound = static_cast<WallMilliseconds>(settings_.clockBound.count());
+void ClaimProposer::claim(const ClaimKey& key, ClockReading now, Done done) {
+  const auto bound = static_cast<WallMilliseconds>(settings_.maxClockSkew.count());
   const auto retention = static_cast<WallMilliseconds>(settings_.retention.count());
   ClaimResult refusal;
   if (key.time() + retention <= now.wall) {
@@ -61,7 +61,7 @@
   send(token, attempt, now);
 }
 
-void ClaimProposer::send(const AttemptToken& token, AttemptState& attempt, ClaimTime now) {
+void ClaimProposer::send(const AttemptToken& token, AttemptState& attempt, ClockReading now) {
   attempt.lastSent = now.monotonic;
   if (attempt.epoch != viewAgent_.epoch()) {
     // Votes from different epochs must not be added up.
@@ -78,7 +78,7 @@
   }
 }
 
-void ClaimProposer::handle(const ClaimReply& reply, ClaimTime now) {
+void ClaimProposer::handle(const ClaimReply& reply, ClockReading now) {
   const auto attempt = attempts_.find(reply.token);
   const bool relevant = attempt != attempts_.end() && attempt->second.key == reply.key &&
                         (reply.epoch == attempt->second.epoch || !settings_.rules.checkEpoch);
@@ -153,7 +153,7 @@
   return ClaimVerdict::kUnavailable;
 }
 
-void ClaimProposer::finish(Attempts::iterator attempt, ClaimVerdict verdict, ClaimTime now) {
+void ClaimProposer::finish(Attempts::iterator attempt, ClaimVerdict verdict, ClockReading now) {
   const AttemptState state = std::move(attempt->second);
   ClaimResult result{verdict, attempt->first, std::nullopt};
   attempts_.erase(attempt);
@@ -171,15 +171,15 @@
 }
 
 void ClaimProposer::complete(const ClaimKey& key, AttemptToken token, StoredOutcome outcome,
-                             ClaimTime now) {
+                             ClockReading now) {
   sendNotice(CompletedNotice{key, token, std::move(outcome)}, key, now);
 }
 
-void ClaimProposer::release(const ClaimKey& key, AttemptToken token, ClaimTime now) {
+void ClaimProposer::release(const ClaimKey& key, AttemptToken token, ClockReading now) {
   sendNotice(ReleaseNotice{key, token}, key, now);
 }
 
-void ClaimProposer::sendNotice(const ClaimMessage& message, const ClaimKey& key, ClaimTime now) {
+void ClaimProposer::sendNotice(const ClaimMessage& message, const ClaimKey& key, ClockReading now) {
   sendToReplicas(message, key);
   notices_.push_back({message, key, kNoticeSends - 1, now.monotonic + settings_.claimRetransmit});
 }
@@ -190,7 +190,7 @@
   }
 }
 
-void ClaimProposer::tick(ClaimTime now) {
+void ClaimProposer::tick(ClockReading now) {
   for (auto attempt = attempts_.begin(); attempt != attempts_.end();) {
     const auto next = std::next(attempt);
     AttemptState& state = attempt->second;
--- a/src/claims/claim_proposer.h
+++ b/src/claims/claim_proposer.h
@@ -49,14 +49,14 @@
                 std::uint64_t seed);
 
   /// Calls `done` exactly once, within the claim timeout.
-  void claim(const ClaimKey& key, ClaimTime now, Done done);
+  void claim(const ClaimKey& key, ClockReading now, Done done);
   /// Reports that the request of a granted attempt ran and received a response.
-  void complete(const ClaimKey& key, AttemptToken token, StoredOutcome outcome, ClaimTime now);
+  void complete(const ClaimKey& key, AttemptToken token, StoredOutcome outcome, ClockReading now);
   /// Reports that the request of a granted attempt did not run and will not run, so another attempt
   /// may claim the key.
-  void release(const ClaimKey& key, AttemptToken token, ClaimTime now);
-  void handle(const ClaimReply& reply, ClaimTime now);
-  void tick(ClaimTime now);
+  void release(const ClaimKey& key, AttemptToken token, ClockReading now);
+  void handle(const ClaimReply& reply, ClockReading now);
+  void tick(ClockReading now);
   std::size_t pending() const { return attempts_.size(); }
 
  private:
@@ -88,13 +88,13 @@
   };
   using Attempts = std::map<AttemptToken, AttemptState>;
 
-  void send(const AttemptToken& token, AttemptState& attempt, ClaimTime now);
+  void send(const AttemptToken& token, AttemptState& attempt, ClockReading now);
   Tally tally(const AttemptToken& token, const AttemptState& attempt) const;
   /// Verdict determined by the votes so far, or nullopt while further votes may change it.
   std::optional<ClaimVerdict> decide(const Tally& tally) const;
   ClaimVerdict finalVerdict(const Tally& tally) const;
-  void finish(Attempts::iterator attempt, ClaimVerdict verdict, ClaimTime now);
-  void sendNotice(const ClaimMessage& message, const ClaimKey& key, ClaimTime now);
+  void finish(Attempts::iterator attempt, ClaimVerdict verdict, ClockReading now);
+  void sendNotice(const ClaimMessage& message, const ClaimKey& key, ClockReading now);
   void sendToReplicas(const ClaimMessage& message, const ClaimKey& key);
 
   const ClaimSettings& settings_;
--- a/src/claims/claim_replica.cc
+++ b/src/claims/claim_replica.cc
@@ -61,7 +61,7 @@
 }
 
 Vote ClaimReplica::voteOnNewAttempt(const ClaimRequest& request, WallMilliseconds now) {
-  if (request.key.time() > now + toWallMilliseconds(settings_.clockBound)) {
+  if (request.key.time() > now + toWallMilliseconds(settings_.maxClockSkew)) {
     return Vote::kKeyFromFuture;
   }
   if (settings_.rules.abstainAfterRestart && mayPrecedeVoteHistory(request.key)) {
@@ -114,7 +114,7 @@
 
 bool ClaimReplica::mayPrecedeVoteHistory(const ClaimKey& key) const {
   return key.time() <=
-         voteHistoryStart_.at(key.group()) + 2 * toWallMilliseconds(settings_.clockBound);
+         voteHistoryStart_.at(key.group()) + 2 * toWallMilliseconds(settings_.maxClockSkew);
 }
 
 }  // namespace calicodrift::claims
--- a/src/claims/claim_settings.h
+++ b/src/claims/claim_settings.h
@@ -22,7 +22,7 @@
 struct ClaimSettings {
   /// Maximum difference between any two clocks, and maximum time by which a key may be ahead of a
   /// clock.
-  Milliseconds clockBound{500};
+  Milliseconds maxClockSkew{500};
   /// How long after its timestamp a key is accepted; older keys are refused.
   Milliseconds retention{600'000};
   /// Maximum time that a request waits for its claim to be decided.
@@ -40,7 +40,7 @@
 
 /// A simultaneous reading of the monotonic and the wall clock. The wall clock may jump; see
 /// ClaimReplica for the consequences.
-struct ClaimTime {
+struct ClockReading {
   MonotonicTime monotonic;
   /// Milliseconds since the Unix epoch.
   std::uint64_t wall = 0;
--- a/src/claims/view_agent.cc
+++ b/src/claims/view_agent.cc
@@ -36,7 +36,7 @@
 
 ViewAgent::ViewAgent(const ClaimSettings& settings, const peer::PeerDirectory& directory,
                      ViewStore& store, Sender sender, VoteHistoryStarted voteHistoryStarted,
-                     ClaimTime started)
+                     ClockReading started)
     : settings_(settings),
       started_(started),
       incarnation_(started.wall),
@@ -49,7 +49,7 @@
   *alive_ = false;
 }
 
-void ViewAgent::tick(ClaimTime now) {
+void ViewAgent::tick(ClockReading now) {
   now_ = now;
   if (!lastEvaluation_ || now.monotonic - *lastEvaluation_ >= kEvaluationInterval) {
     lastEvaluation_ = now.monotonic;
@@ -76,16 +76,16 @@
   }
 }
 
-void ViewAgent::handle(const Endpoint& /*from*/, const ViewNotice& notice, ClaimTime now) {
+void ViewAgent::handle(const Endpoint& /*from*/, const ViewNotice& notice, ClockReading now) {
   adopt(notice.view, now);
 }
 
-void ViewAgent::handle(const Endpoint& from, const JoinRequest& request, ClaimTime now) {
+void ViewAgent::handle(const Endpoint& from, const JoinRequest& request, ClockReading now) {
   observeEpoch(from, request.epoch);
   // A node that replies has been running for longer than the maximum clock difference. Any later
   // incarnation of the same node, on any machine, starts at a later wall clock time and thus has a
   // greater incarnation number.
-  if (now.monotonic - started_.monotonic <= settings_.clockBound) {
+  if (now.monotonic - started_.monotonic <= settings_.maxClockSkew) {
     return;
   }
   JoinReply reply;
@@ -119,7 +119,7 @@
   latest = std::max(latest, incarnation);
 }
 
-void ViewAgent::handle(const Endpoint& from, const JoinReply& reply, ClaimTime now) {
+void ViewAgent::handle(const Endpoint& from, const JoinReply& reply, ClockReading now) {
   if (reply.requesterIncarnation != incarnation_) {
     return;
   }
@@ -140,7 +140,7 @@
   startVoting(now);
 }
 
-void ViewAgent::adopt(const ClaimView& view, ClaimTime now) {
+void ViewAgent::adopt(const ClaimView& view, ClockReading now) {
   if (view.epoch == view_.epoch && view.established) {
     view_.established = true;
     startVoting(now);
@@ -197,7 +197,7 @@
   return false;
 }
 
-void ViewAgent::requestView(ClaimTime now) {
+void ViewAgent::requestView(ClockReading now) {
   if (lastJoinRequest_ && now.monotonic - *lastJoinRequest_ < settings_.joinInterval) {
     return;
   }
@@ -208,7 +208,7 @@
   }
 }
 
-void ViewAgent::sendJoinRequests(ClaimTime now) {
+void ViewAgent::sendJoinRequests(ClockReading now) {
   const bool fast =
       now.monotonic - adoptedAt_ < kFastJoinPeriod || proposedMembers_ != view_.members;
   const Milliseconds interval = settings_.joinInterval * (fast ? 1 : kSlowJoinFactor);
@@ -224,7 +224,7 @@
   }
 }
 
-void ViewAgent::startVoting(ClaimTime now) {
+void ViewAgent::startVoting(ClockReading now) {
   for (std::size_t group = 0; group < kGroupCount; ++group) {
     if (!votingGroups_.test(group) && selfReplicates(group) && previousEpochSealed(group) &&
         currentEpochProved(group)) {
@@ -300,7 +300,7 @@
   return true;
 }
 
-std::vector<peer::PeerInfo> ViewAgent::aliveNodes(ClaimTime now) const {
+std::vector<peer::PeerInfo> ViewAgent::aliveNodes(ClockReading now) const {
   std::map<NodeId, peer::PeerInfo> alive;
   for (const ViewMember& member : view_.members) {
     const auto lastReply = lastReplyAt_.find(member.id);
@@ -326,7 +326,7 @@
   return nodes;
 }
 
-void ViewAgent::evaluateMembership(ClaimTime now) {
+void ViewAgent::evaluateMembership(ClockReading now) {
   const std::vector<peer::PeerInfo> alive = aliveNodes(now);
   const std::vector<ViewMember> known = membersOfBothViews();
   endpoints_.clear();
@@ -357,7 +357,7 @@
          now_.monotonic - proposedSince_ >= delay;
 }
 
-void ViewAgent::accessStore(ClaimTime now) {
+void ViewAgent::accessStore(ClockReading now) {
   const bool first = view_.epoch == Epoch();
   const bool mustProve = !storeRead_ && (first || selfIndex().has_value());
   const bool mayEstablish =
@@ -382,7 +382,7 @@
   });
 }
 
-void ViewAgent::onRead(const Result<VersionedView>& read, ClaimTime now) {
+void ViewAgent::onRead(const Result<VersionedView>& read, ClockReading now) {
   const bool noViewYet = !read && read.error().kind == ErrorKind::kNotFound;
   if (read || (noViewYet && view_.epoch == Epoch())) {
     storeRead_ = true;
--- a/src/claims/view_agent.h
+++ b/src/claims/view_agent.h
@@ -37,21 +37,21 @@
  public:
   using Sender = std::function<void(const Endpoint& to, const ClaimMessage& message)>;
   /// Called when the node's history of votes in a group begins.
-  using VoteHistoryStarted = std::function<void(std::size_t group, ClaimTime now)>;
+  using VoteHistoryStarted = std::function<void(std::size_t group, ClockReading now)>;
 
   ViewAgent(const ClaimSettings& settings, const peer::PeerDirectory& directory, ViewStore& store,
-            Sender sender, VoteHistoryStarted voteHistoryStarted, ClaimTime started);
+            Sender sender, VoteHistoryStarted voteHistoryStarted, ClockReading started);
   ~ViewAgent();
   ViewAgent(const ViewAgent&) = delete;
   ViewAgent& operator=(const ViewAgent&) = delete;
 
-  void tick(ClaimTime now);
+  void tick(ClockReading now);
   /// Requests the view from `from` if `epoch` is later than the current one.
   void observeEpoch(const Endpoint& from, Epoch epoch);
   void handle(const Endpoint& from, const ViewRequest& request);
-  void handle(const Endpoint& from, const ViewNotice& notice, ClaimTime now);
-  void handle(const Endpoint& from, const JoinRequest& request, ClaimTime now);
-  void handle(const Endpoint& from, const JoinReply& reply, ClaimTime now);
+  void handle(const Endpoint& from, const ViewNotice& notice, ClockReading now);
+  void handle(const Endpoint& from, const JoinRequest& request, ClockReading now);
+  void handle(const Endpoint& from, const JoinReply& reply, ClockReading now);
 
   /// Epoch of the current view; 0 if no view is known.
   Epoch epoch() const { return view_.epoch; }
@@ -68,13 +68,13 @@
   bool isSelf(const ViewMember& member) const;
   std::optional<std::size_t> selfIndex() const;
   bool selfReplicates(std::size_t group) const;
-  void adopt(const ClaimView& view, ClaimTime now);
+  void adopt(const ClaimView& view, ClockReading now);
   void carryVotesOver(const ClaimView& next, const std::array<ReplicaSet, kGroupCount>& nextSets);
   bool needsJoin() const;
   /// Requests the view from one alive peer after the other; used while no view is known.
-  void requestView(ClaimTime now);
-  void sendJoinRequests(ClaimTime now);
-  void startVoting(ClaimTime now);
+  void requestView(ClockReading now);
+  void sendJoinRequests(ClockReading now);
+  void startVoting(ClockReading now);
   bool previousEpochSealed(std::size_t group) const;
   bool currentEpochProved(std::size_t group) const;
   bool isReplyInvalidated(const JoinReply& reply) const;
@@ -89,16 +89,16 @@
 
   /// Nodes that the directory reports alive plus view members that reply, each once. An empty or
   /// wrong directory therefore does not remove any member.
-  std::vector<peer::PeerInfo> aliveNodes(ClaimTime now) const;
-  void evaluateMembership(ClaimTime now);
+  std::vector<peer::PeerInfo> aliveNodes(ClockReading now) const;
+  void evaluateMembership(ClockReading now);
   bool newViewDue() const;
-  void accessStore(ClaimTime now);
-  void onRead(const Result<VersionedView>& read, ClaimTime now);
+  void accessStore(ClockReading now);
+  void onRead(const Result<VersionedView>& read, ClockReading now);
   std::optional<VersionedView> successorOf(const Result<VersionedView>& read) const;
   void write(const VersionedView& next);
 
   const ClaimSettings& settings_;
-  const ClaimTime started_;
+  const ClockReading started_;
   /// Incarnation of this process; greater after every restart of the same node.
   const Incarnation incarnation_;
   const peer::PeerDirectory& directory_;
@@ -132,7 +132,7 @@
   MonotonicTime proposedSince_;
   std::optional<MonotonicTime> lastStoreAccess_;
   bool storeBusy_ = false;
-  ClaimTime now_;
+  ClockReading now_;
   /// Lets store callbacks that outlive the agent detect that it was destroyed.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/config/configuration.cc
+++ b/src/config/configuration.cc
@@ -14,12 +14,12 @@
 
 }  // namespace
 
-Result<UnvouchedAction> parseUnvouchedAction(std::string_view text) {
+Result<UnconfirmedAction> parseUnconfirmedAction(std::string_view text) {
   if (text == "serve") {
-    return UnvouchedAction::kServe;
+    return UnconfirmedAction::kServe;
   }
   if (text == "refuse") {
-    return UnvouchedAction::kRefuse;
+    return UnconfirmedAction::kRefuse;
   }
   return fail(ErrorKind::kSettingsInvalid,
               "config-unvouched-action: '" + std::string(text) + "' is neither serve nor refuse");
@@ -34,7 +34,7 @@
       transport_(transport),
       metrics_(registry),
       holder_(std::move(rule), std::move(listener)),
-      freshness_(settings.vouchTerm, holder_),
+      freshness_(settings.confirmationTerm, holder_),
       roster_(directory, settings.watchersPerZone),
       relay_(settings.relay, transport, roster_, holder_, freshness_, metrics_,
              settings.store.seed),
@@ -75,7 +75,7 @@
   if (!holder_.current()) {
     return fail(ErrorKind::kNoConfiguration, "no signed bundle has been received yet");
   }
-  if (settings_.unvouchedAction == UnvouchedAction::kRefuse && !confirmed()) {
+  if (settings_.unconfirmedAction == UnconfirmedAction::kRefuse && !confirmed()) {
     return fail(ErrorKind::kNoConfiguration,
                 "the configuration has not been confirmed within config-vouch-term-ms");
   }
--- a/src/config/configuration.h
+++ b/src/config/configuration.h
@@ -19,17 +19,17 @@
 namespace calicodrift::config {
 
 /// Behavior while the active version is not confirmed to be the newest accepted one.
-enum class UnvouchedAction { kServe, kRefuse };
+enum class UnconfirmedAction { kServe, kRefuse };
 /// Parses "serve" or "refuse". Fails with kSettingsInvalid for any other text.
-Result<UnvouchedAction> parseUnvouchedAction(std::string_view text);
+Result<UnconfirmedAction> parseUnconfirmedAction(std::string_view text);
 
 struct ConfigurationSettings {
   StoreWatcherSettings store;
   RelaySettings relay;
   std::size_t watchersPerZone = 2;
   /// Maximum age of the latest confirmation by the store.
-  Milliseconds vouchTerm{7000};
-  UnvouchedAction unvouchedAction = UnvouchedAction::kServe;
+  Milliseconds confirmationTerm{7000};
+  UnconfirmedAction unconfirmedAction = UnconfirmedAction::kServe;
 };
 
 /// Configuration of one node: the active bundle, its updates through the store and the peers, and
--- a/src/config/store_watcher.cc
+++ b/src/config/store_watcher.cc
@@ -39,7 +39,7 @@
 }
 
 awaitable<void> StoreWatcher::run() {
-  if (settings_.joinsPeers) {
+  if (settings_.waitForPeers) {
     co_await sleepRandomly(kMinStartDelay, kMaxStartDelay);
   }
   for (;;) {
--- a/src/config/store_watcher.h
+++ b/src/config/store_watcher.h
@@ -22,7 +22,7 @@
   Milliseconds watchDuration{1000};
   /// True if other nodes may be discovered soon. The first read then waits for them, so that nodes
   /// restarting at the same time do not all read the store at once.
-  bool joinsPeers = false;
+  bool waitForPeers = false;
   std::uint64_t seed = 0;
 };
 
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -225,7 +225,7 @@
 }
 
 quota::QuotaNodeContext GatewayNode::quotaContext() {
-  quota::QuotaNodeContext context{context_.get_executor(), client_, [this] { return quotaPlace(); },
+  quota::QuotaNodeContext context{context_.get_executor(), client_, [this] { return quotaRole(); },
                                   [this] { return relay_.relay(); },
                                   [this] { return relay_.roots(); }};
   if (groupsOf(settings_) > 1) {
@@ -233,7 +233,7 @@
     context.viewAge = [this] {
       return std::chrono::ceil<Milliseconds>(monotonicNow() - relay_.store().provenAt());
     };
-    context.longestLendingAge = settings_.relayProofAge;
+    context.maxLendingViewAge = settings_.relayProofAge;
   }
   return context;
 }
@@ -289,22 +289,22 @@
   co_return unit.granted;
 }
 
-quota::NodePlace GatewayNode::quotaPlace() {
+quota::QuotaRoleShare GatewayNode::quotaRole() {
   const double ofGroup = 1 / static_cast<double>(groupsOf(settings_));
   if (relay_.isWholeTree()) {
-    return {quota::Place::kRoot, ofGroup};
+    return {quota::QuotaRole::kRoot, ofGroup};
   }
   // The proof of a place costs the store calls: only where there are limits to keep.
-  if (relay_.isRelay() && quota_.limitsAny() && !relay_.mayGrant()) {
+  if (relay_.isRelay() && quota_.hasLimits() && !relay_.mayGrant()) {
     // Its former run, or the node whose place it took, may still give this part away.
-    return {quota::Place::kFollower, 0};
+    return {quota::QuotaRole::kFollower, 0};
   }
   if (relay_.isRelay()) {
     // While one of the two is being replaced its part is not minted, as it may live on unseen.
     const std::size_t roots = std::max<std::size_t>(2, relay_.roots().size() + 1);
-    return {quota::Place::kRoot, ofGroup / static_cast<double>(roots)};
+    return {quota::QuotaRole::kRoot, ofGroup / static_cast<double>(roots)};
   }
-  return {relay_.relay() ? quota::Place::kFollower : quota::Place::kIsland, 0};
+  return {relay_.relay() ? quota::QuotaRole::kFollower : quota::QuotaRole::kDisconnected, 0};
 }
 
 Result<void> GatewayNode::start() {
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -68,7 +68,7 @@
   /// Takes a unit for a question of health, where the server names a limit.
   boost::asio::awaitable<bool> mayProbe(fleet::Server server);
   /// Where this node stands in the tree that keeps the tenants' limits.
-  quota::NodePlace quotaPlace();
+  quota::QuotaRoleShare quotaRole();
   void onTable(const routes::RouteTable& table);
   void onServerLost(const fleet::Server& server, fleet::ServerLoss loss);
   boost::asio::awaitable<void> answerReady(http::Request& request, http::ResponseWriter& writer);
--- a/src/hollow/hollow_fleet.cc
+++ b/src/hollow/hollow_fleet.cc
@@ -71,7 +71,7 @@
   control.seed = hashPair(settings_.seed, index);
   control.configuration = settings_.configuration;
   control.configuration.store.seed = hashPair(control.seed, 1);
-  control.configuration.store.joinsPeers = true;
+  control.configuration.store.waitForPeers = true;
   control.signingRule = settings_.signingRule;
   Worker& worker = workerOf(index);
   node(index).start(std::move(control), [&worker, index](const bundle::Bundle& bundle) {
--- a/src/quota/quota_core.cc
+++ b/src/quota/quota_core.cc
@@ -41,7 +41,7 @@
   }
 }
 
-void QuotaCore::setRole(const NodePlace& role, MonotonicTime now) {
+void QuotaCore::setRole(const QuotaRoleShare& role, MonotonicTime now) {
   const bool stalled = refreshedAt_ != MonotonicTime{} && now - refreshedAt_ > kStallThreshold;
   refreshedAt_ = now;
   role_ = role;
@@ -86,7 +86,7 @@
   }
   Milliseconds wait(answer.waitMs);
   if (account != nullptr) {
-    if (role_.role == Place::kRoot) {
+    if (role_.role == QuotaRole::kRoot) {
       wait = std::min(wait, account->waitFor(claim.units, now));
     }
     account->onRefused(wait, now);
@@ -96,7 +96,7 @@
 
 Decision QuotaCore::onNoReply(TenantKey tenant, double units, MonotonicTime now) {
   TenantAccount* account = findAccount(tenant);
-  if (account != nullptr && role_.role == Place::kRoot) {
+  if (account != nullptr && role_.role == QuotaRole::kRoot) {
     return {Verdict::kRefused, account->waitFor(units, now)};
   }
   const bool passes =
@@ -119,7 +119,7 @@
 
 std::vector<Claim> QuotaCore::borrowClaims(std::size_t lenders, MonotonicTime now) {
   std::vector<Claim> claims;
-  if (role_.role != Place::kRoot || lenders == 0) {
+  if (role_.role != QuotaRole::kRoot || lenders == 0) {
     return claims;
   }
   for (auto& [key, account] : accounts_) {
--- a/src/quota/quota_core.h
+++ b/src/quota/quota_core.h
@@ -13,8 +13,8 @@
 TenantKey keyOf(const TenantId& tenant);
 
 /// Role of a node and the share of each limit that it issues in that role.
-struct NodePlace {
-  Place role = Place::kIsland;
+struct QuotaRoleShare {
+  QuotaRole role = QuotaRole::kDisconnected;
   double share = 0;
 };
 
@@ -34,10 +34,10 @@
   void applyLimits(const std::map<TenantId, TenantLimit>& limits, MonotonicTime now);
   /// Sets the role of this node. Must be called at least every kPulse, also if nothing has changed:
   /// a longer interval between calls means that the process was stalled.
-  void setRole(const NodePlace& role, MonotonicTime now);
+  void setRole(const QuotaRoleShare& role, MonotonicTime now);
 
   /// True if any tenant has a limit.
-  bool limitsAny() const { return !accounts_.empty(); }
+  bool hasLimits() const { return !accounts_.empty(); }
   bool limits(TenantKey tenant) const { return accounts_.contains(tenant); }
   /// Decides on a claim; tenants without a limit are always granted.
   Decision claim(TenantKey tenant, double units, MonotonicTime now);
@@ -58,7 +58,7 @@
   double onBorrowed(const Claim& claim, const ClaimAnswer& answer, MonotonicTime sent);
   void giveBack(TenantKey tenant, double units, MonotonicTime now);
 
-  const NodePlace& role() const { return role_; }
+  const QuotaRoleShare& role() const { return role_; }
   /// Returns null if the tenant has no limit.
   TenantAccount* findAccount(TenantKey tenant);
 
@@ -66,7 +66,7 @@
 
  private:
   QuotaBounds bounds_;
-  NodePlace role_;
+  QuotaRoleShare role_;
   std::unordered_map<TenantKey, TenantAccount> accounts_;
   MonotonicTime refreshedAt_{};
   /// Time of the last answer from a source.
--- a/src/quota/quota_node.cc
+++ b/src/quota/quota_node.cc
@@ -175,7 +175,7 @@
 
 awaitable<void> QuotaNode::resolveBatch(PendingClaims batch) {
   ClaimBatch message;
-  message.fromRoot = core_.role().role == Place::kRoot;
+  message.fromRoot = core_.role().role == QuotaRole::kRoot;
   for (const auto& waiting : batch) {
     message.claims.push_back(waiting->claim);
     message.hops = std::max(message.hops, waiting->hops + 1);
@@ -242,7 +242,7 @@
 }
 
 bool QuotaNode::mayLend() const {
-  return !context_.viewAge || context_.viewAge() <= context_.longestLendingAge;
+  return !context_.viewAge || context_.viewAge() <= context_.maxLendingViewAge;
 }
 
 awaitable<ClaimReply> QuotaNode::answer(ClaimBatch batch) {
--- a/src/quota/quota_node.h
+++ b/src/quota/quota_node.h
@@ -27,7 +27,7 @@
 struct QuotaNodeContext {
   boost::asio::any_io_executor executor;
   http::Client& client;
-  std::function<NodePlace()> role;
+  std::function<QuotaRoleShare()> role;
   /// Source that a follower tries first.
   std::function<std::optional<Endpoint>()> parent;
   /// Last known roots of the tree, excluding this node.
@@ -38,7 +38,7 @@
   std::function<Milliseconds()> viewAge = nullptr;
   /// A node with an older view lends nothing: it may have been replaced as a root, and its
   /// successor issues the same units.
-  Milliseconds longestLendingAge{0};
+  Milliseconds maxLendingViewAge{0};
 };
 
 /// Decision on a request under its tenant's limit.
@@ -63,7 +63,7 @@
   void start();
   void applyLimits(const std::map<TenantId, TenantLimit>& limits);
   /// True if any tenant has a limit.
-  bool limitsAny() const { return core_.limitsAny(); }
+  bool hasLimits() const { return core_.hasLimits(); }
   /// Takes `units` from the tenant's limit. Waits for other nodes for at most kSourceTimeout per
   /// source.
   boost::asio::awaitable<QuotaVerdict> take(const TenantId& tenant, double units);
--- a/src/quota/tenant_account.cc
+++ b/src/quota/tenant_account.cc
@@ -43,11 +43,11 @@
   applyShare(now);
 }
 
-void TenantAccount::setRole(Place role, double share, MonotonicTime now) {
+void TenantAccount::setRole(QuotaRole role, double share, MonotonicTime now) {
   if (role == role_ && share == share_) {
     return;
   }
-  const bool becomesRoot = role == Place::kRoot && role_ != Place::kRoot;
+  const bool becomesRoot = role == QuotaRole::kRoot && role_ != QuotaRole::kRoot;
   role_ = role;
   share_ = share;
   refusedUntil_ = now;
@@ -64,7 +64,7 @@
 void TenantAccount::discardHeld(MonotonicTime now) {
   prefetched_.clear();
   disconnectedSince_.reset();
-  if (role_ == Place::kRoot) {
+  if (role_ == QuotaRole::kRoot) {
     issued_.setContent(std::min(issued_.contentAt(now), allowance_.initialContent * share_), now);
   }
 }
@@ -73,14 +73,15 @@
   demand_.add(units, now);
   claims_.add(1, now);
   if (takePrefetched(units, now) ||
-      (role_ == Place::kRoot && issued_.tryTake(units, allowance_.maxDebt, now))) {
+      (role_ == QuotaRole::kRoot && issued_.tryTake(units, allowance_.maxDebt, now))) {
     granted_.add(units, now);
     return {Verdict::kGranted, Milliseconds(0)};
   }
   if (now < refusedUntil_) {
     return {Verdict::kRefused, std::chrono::ceil<Milliseconds>(refusedUntil_ - now)};
   }
-  return {Verdict::kAskSource, role_ == Place::kRoot ? issued_.waitFor(units, now) : kUnknownWait};
+  return {Verdict::kAskSource,
+          role_ == QuotaRole::kRoot ? issued_.waitFor(units, now) : kUnknownWait};
 }
 
 bool TenantAccount::claimWhileDisconnected(double units, MonotonicTime lastContact,
@@ -131,7 +132,7 @@
 double TenantAccount::prefetchDemand(MonotonicTime now) {
   const double termSeconds = toMilliseconds(allowance_.prefetchTerm) / kMsPerSecond;
   const bool worthwhile = claims_.perSecond(now) * termSeconds >= kMinClaimsPerTerm;
-  if (role_ != Place::kFollower || !worthwhile || now < nextPrefetch_) {
+  if (role_ != QuotaRole::kFollower || !worthwhile || now < nextPrefetch_) {
     return 0;
   }
   // At most once per half term, so that the claims of one batch do not each request the same units.
@@ -140,7 +141,7 @@
 }
 
 double TenantAccount::grantPrefetch(double requested, MonotonicTime now) {
-  if (role_ != Place::kRoot || requested <= 0) {
+  if (role_ != QuotaRole::kRoot || requested <= 0) {
     return 0;
   }
   const double spare = issued_.contentAt(now) - issued_.burst() * kReservedFraction;
@@ -150,7 +151,7 @@
 
 double TenantAccount::borrowDemand(MonotonicTime now) {
   const bool runsShort = issued_.contentAt(now) < issued_.burst() * kReservedFraction;
-  if (role_ != Place::kRoot || !runsShort) {
+  if (role_ != QuotaRole::kRoot || !runsShort) {
     return 0;
   }
   const double termSeconds = toMilliseconds(allowance_.prefetchTerm) / kMsPerSecond;
@@ -160,7 +161,7 @@
 
 double TenantAccount::heldAt(MonotonicTime now) {
   dropExpired(now);
-  double held = role_ == Place::kRoot ? issued_.contentAt(now) : 0;
+  double held = role_ == QuotaRole::kRoot ? issued_.contentAt(now) : 0;
   for (const PrefetchedUnits& entry : prefetched_) {
     held += entry.units;
   }
--- a/src/quota/tenant_account.h
+++ b/src/quota/tenant_account.h
@@ -13,13 +13,13 @@
 namespace calicodrift::quota {
 
 /// Role of a node in the enforcement of limits.
-enum class Place {
+enum class QuotaRole {
   /// Issues a share of each limit.
   kRoot,
   /// Claims units from its source.
   kFollower,
   /// Has no source.
-  kIsland,
+  kDisconnected,
 };
 
 enum class Verdict { kGranted, kRefused, kAskSource };
@@ -46,11 +46,11 @@
 
   void setLimit(const QuotaBounds& bounds, const TenantLimit& limit, MonotonicTime now);
   /// @param share fraction of the limit that this node issues as a root.
-  void setRole(Place role, double share, MonotonicTime now);
+  void setRole(QuotaRole role, double share, MonotonicTime now);
   /// Discards the units held before the process was stalled, which can no longer be relied on.
   void discardHeld(MonotonicTime now);
 
-  /// Decides on a claim and takes the units that it grants. kAsk means that too few units are
+  /// Decides on a claim and takes the units that it grants. kAskSource means that too few units are
   /// available; on a root, `wait` is the time until they are.
   Decision claim(double units, MonotonicTime now);
   /// Decides on a claim while no source can be reached, based on the rate granted until the source
@@ -83,7 +83,7 @@
   }
 
   const TenantLimit& limit() const { return limit_; }
-  Place role() const { return role_; }
+  QuotaRole role() const { return role_; }
   /// Units that could be granted immediately at this node.
   double heldAt(MonotonicTime now);
   /// Recent rates, in units per second, of the units requested and granted at this node.
@@ -104,7 +104,7 @@
   TenantLimit limit_;
   Allowance allowance_;
   MonotonicTime limitedSince_;
-  Place role_ = Place::kIsland;
+  QuotaRole role_ = QuotaRole::kDisconnected;
   double share_ = 0;
   limits::TokenBucket issued_;
   std::deque<PrefetchedUnits> prefetched_;
--- a/src/router/claim_gate.cc
+++ b/src/router/claim_gate.cc
@@ -15,7 +15,7 @@
 
 claims::ClaimSettings claimSettings(const NodeSettings& settings) {
   claims::ClaimSettings claims;
-  claims.clockBound = settings.claimClockBound;
+  claims.maxClockSkew = settings.claimClockBound;
   claims.retention = settings.claimRetention;
   claims.claimTimeout = settings.claimTimeout;
   claims.maxRecords = static_cast<std::size_t>(settings.claimMaxRecords);
@@ -23,7 +23,7 @@
   return claims;
 }
 
-claims::ClaimTime claimTimeNow() {
+claims::ClockReading clockReadingNow() {
   const auto wall = std::chrono::duration_cast<Milliseconds>(wallNow().time_since_epoch());
   return {monotonicNow(), static_cast<std::uint64_t>(wall.count())};
 }
@@ -88,7 +88,7 @@
 
 void ClaimGate::start(const peer::PeerDirectory& directory) {
   node_ = std::make_unique<claims::ClaimNode>(claimSettings(settings_), transport_, directory,
-                                              store_, metrics_, claimTimeNow, random_());
+                                              store_, metrics_, clockReadingNow, random_());
   asio::co_spawn(executor_, tickForever(), asio::detached);
 }
 
@@ -103,7 +103,7 @@
 
 std::string ClaimGate::makeKey() {
   const std::uint64_t high = random_();
-  return claims::makeUuidV7(claimTimeNow().wall, high, random_());
+  return claims::makeUuidV7(clockReadingNow().wall, high, random_());
 }
 
 awaitable<Result<ClaimGrant>> ClaimGate::claim(TenantId tenant, std::string idempotencyKey) {
@@ -121,7 +121,7 @@
   if (result.verdict == ClaimVerdict::kGranted) {
     co_return grant;
   }
-  if (result.verdict == ClaimVerdict::kCompleted && result.outcome && result.outcome->bodyKept) {
+  if (result.verdict == ClaimVerdict::kCompleted && result.outcome && result.outcome->bodyStored) {
     grant.replay = result.outcome;
     co_return grant;
   }
@@ -135,10 +135,10 @@
   claims::StoredOutcome outcome;
   outcome.status = answer.status;
   outcome.contentType = answer.headers.get("Content-Type");
-  outcome.bodyKept = keepBody == KeepBody::kIfShort &&
-                     answer.body.size() <= claims::kMaxStoredBodyBytes &&
-                     outcome.contentType.size() <= kMaxContentTypeBytes;
-  if (outcome.bodyKept) {
+  outcome.bodyStored = keepBody == KeepBody::kIfShort &&
+                       answer.body.size() <= claims::kMaxStoredBodyBytes &&
+                       outcome.contentType.size() <= kMaxContentTypeBytes;
+  if (outcome.bodyStored) {
     outcome.body = answer.body;
   } else {
     outcome.contentType.clear();
--- a/src/router/node.cc
+++ b/src/router/node.cc
@@ -49,14 +49,14 @@
   config::ConfigurationSettings configuration;
   configuration.store.objectApi = settings.objectApi;
   configuration.store.watchDuration = settings.storePollInterval;
-  configuration.store.joinsPeers = !settings.seeds.empty();
+  configuration.store.waitForPeers = !settings.seeds.empty();
   configuration.store.seed =
       hashPair(hashBytes(settings.nodeId),
                static_cast<std::uint64_t>(monotonicNow().time_since_epoch().count()));
   configuration.watchersPerZone = static_cast<std::size_t>(settings.configWatchersPerZone);
-  configuration.vouchTerm = settings.configVouchTerm;
-  const auto action = config::parseUnvouchedAction(settings.configUnvouchedAction);
-  configuration.unvouchedAction = action ? action.value() : config::UnvouchedAction::kServe;
+  configuration.confirmationTerm = settings.configVouchTerm;
+  const auto action = config::parseUnconfirmedAction(settings.configUnvouchedAction);
+  configuration.unconfirmedAction = action ? action.value() : config::UnconfirmedAction::kServe;
   return configuration;
 }
 
--- a/src/router/program.cc
+++ b/src/router/program.cc
@@ -41,7 +41,7 @@
     std::cerr << signers.error().detail << "\n";
     return settings::kExitUsage;
   }
-  const auto action = config::parseUnvouchedAction(given.configUnvouchedAction);
+  const auto action = config::parseUnconfirmedAction(given.configUnvouchedAction);
   if (!action) {
     std::cerr << action.error().detail << "\n";
     return settings::kExitUsage;
--- a/tests/claims/simulated_fleet.h
+++ b/tests/claims/simulated_fleet.h
@@ -141,7 +141,7 @@
   void start(std::size_t index) {
     Member& member = nodes_[index];
     member = Member{};
-    const auto bound = static_cast<std::uint64_t>(settings_.clockBound.count());
+    const auto bound = static_cast<std::uint64_t>(settings_.maxClockSkew.count());
     const std::uint64_t skew = network.random()() % (bound + 1);
     const peer::PeerInfo self{idOf(index), Incarnation(++incarnations_),
                               ZoneId("z" + std::to_string(index % 3)), RegionId("r"),
@@ -152,7 +152,7 @@
     member.claims = std::make_unique<ClaimNode>(
         settings_, *member.transport, *member.directory, *stores_[index], metrics_,
         [this, skew] {
-          return ClaimTime{network.now(), trueWallTime() + skew};
+          return ClockReading{network.now(), trueWallTime() + skew};
         },
         network.random()());
     scheduleTick(index, self.incarnation);
@@ -244,7 +244,7 @@
 /// Settings with short timeouts, so that a schedule of a few seconds exercises every rule.
 inline ClaimSettings shortTimeoutSettings() {
   ClaimSettings settings;
-  settings.clockBound = Milliseconds(100);
+  settings.maxClockSkew = Milliseconds(100);
   settings.retention = Milliseconds(8000);
   settings.claimTimeout = Milliseconds(200);
   settings.claimRetransmit = Milliseconds(30);
--- a/tests/forward/forwarding_fixture.h
+++ b/tests/forward/forwarding_fixture.h
@@ -208,7 +208,7 @@
             {context.get_executor(), client_, standaloneTreePosition(), [] { return false; }},
             failingStore_, "records", quarantineMetrics_, [](const store::Object&, const Error&) {},
             1),
-        quota_({context.get_executor(), client_, [] { return quota::NodePlace{}; },
+        quota_({context.get_executor(), client_, [] { return quota::QuotaRoleShare{}; },
                 [] { return std::optional<Endpoint>(); }, [] { return std::vector<Endpoint>(); }},
                quota::QuotaBounds{}, quotaMetrics_, 1) {
     log::silence();
--- a/tests/quota/quota_fleet_test.cc
+++ b/tests/quota/quota_fleet_test.cc
@@ -186,9 +186,9 @@
       *core = QuotaCore(bounds);
       core->applyLimits({{TenantId("t"), {kNoRate, kSlack}}}, kNow);
     }
-    root_.setRole({Place::kRoot, 1}, kNow);
+    root_.setRole({QuotaRole::kRoot, 1}, kNow);
     for (QuotaCore& follower : followers_) {
-      follower.setRole({Place::kFollower, 0}, kNow);
+      follower.setRole({QuotaRole::kFollower, 0}, kNow);
     }
     issued_ = Allowance(bounds, {kNoRate, kSlack}).initialContent;
   }
@@ -256,7 +256,7 @@
     ++incarnations_[number];
     followers_[number] = QuotaCore({Milliseconds(1000), 0, kSlack});
     followers_[number].applyLimits({{TenantId("t"), {kNoRate, kSlack}}}, kNow);
-    followers_[number].setRole({Place::kFollower, 0}, kNow);
+    followers_[number].setRole({QuotaRole::kFollower, 0}, kNow);
   }
   void deliver(std::size_t index) {
     Message message = messages_[index];
--- a/tests/quota/quota_node_test.cc
+++ b/tests/quota/quota_node_test.cc
@@ -20,7 +20,7 @@
 
 /// A node of the tree that serves claims over HTTP.
 struct TestNode {
-  TestNode(asio::io_context& context, http::Client& client, NodePlace role)
+  TestNode(asio::io_context& context, http::Client& client, QuotaRoleShare role)
       : server(context.get_executor(), {},
                [this](http::Request& request, http::ResponseWriter& writer) {
                  return quota->handle(request, writer);
@@ -58,10 +58,10 @@
 struct TreeFixture {
   asio::io_context context;
   http::Client client{context.get_executor()};
-  TestNode root{context, client, {Place::kRoot, 0.5}};
-  TestNode otherRoot{context, client, {Place::kRoot, 0.5}};
-  TestNode middle{context, client, {Place::kFollower, 0}};
-  TestNode leaf{context, client, {Place::kFollower, 0}};
+  TestNode root{context, client, {QuotaRole::kRoot, 0.5}};
+  TestNode otherRoot{context, client, {QuotaRole::kRoot, 0.5}};
+  TestNode middle{context, client, {QuotaRole::kFollower, 0}};
+  TestNode leaf{context, client, {QuotaRole::kFollower, 0}};
 
   TreeFixture() {
     root.roots = {otherRoot.endpoint};
--- a/tests/quota/simulated_fleet.h
+++ b/tests/quota/simulated_fleet.h
@@ -189,12 +189,12 @@
     const std::vector<std::size_t> all = rootsOf(regionOf(number));
     return all.empty() ? std::nullopt : std::optional(all[number % all.size()]);
   }
-  NodePlace roleOf(std::size_t number) const {
+  QuotaRoleShare roleOf(std::size_t number) const {
     if (nodes_[number].listedRoot) {
       const std::size_t ofRegion = std::max(kRoots, rootsOf(regionOf(number)).size());
-      return {Place::kRoot, 1 / static_cast<double>(ofRegion * options_.regions)};
+      return {QuotaRole::kRoot, 1 / static_cast<double>(ofRegion * options_.regions)};
     }
-    return {Place::kFollower, 0};
+    return {QuotaRole::kFollower, 0};
   }
 
   void refreshRole(std::size_t number) {
@@ -254,7 +254,7 @@
       return;
     }
     std::vector<std::size_t> sources;
-    const bool isRoot = node.core->role().role == Place::kRoot;
+    const bool isRoot = node.core->role().role == QuotaRole::kRoot;
     if (const auto parent = parentOf(number); parent && !isRoot && *parent != number) {
       sources.push_back(*parent);
     }
@@ -286,7 +286,7 @@
     const std::size_t source = sources.front();
     sources.erase(sources.begin());
     ++messages_;
-    const bool fromRoot = nodes_[number].core->role().role == Place::kRoot;
+    const bool fromRoot = nodes_[number].core->role().role == QuotaRole::kRoot;
     if (nodes_[number].cut || !reachable(source)) {
       clock_.schedule(kTimeout, [this, number, message, hops, sources, answer, incarnation] {
         if (nodes_[number].incarnation == incarnation && nodes_[number].core) {
--- a/tests/quota/tenant_account_test.cc
+++ b/tests/quota/tenant_account_test.cc
@@ -15,7 +15,7 @@
 
 TenantAccount makeRoot(double share) {
   TenantAccount account(kBounds, kLimit);
-  account.setRole(Place::kRoot, share, kStart);
+  account.setRole(QuotaRole::kRoot, share, kStart);
   return account;
 }
 
@@ -55,7 +55,7 @@
 
 BOOST_AUTO_TEST_CASE(aFollowerGrantsNothingByItself) {
   TenantAccount follower(kBounds, kLimit);
-  follower.setRole(Place::kFollower, 0, kStart);
+  follower.setRole(QuotaRole::kFollower, 0, kStart);
   BOOST_TEST((follower.claim(1, kStart).verdict == Verdict::kAskSource));
   follower.addPrefetched(10, kStart + Milliseconds(300));
   BOOST_TEST((follower.claim(4, kStart).verdict == Verdict::kGranted));
@@ -65,14 +65,14 @@
 
 BOOST_AUTO_TEST_CASE(prefetchedUnitsExpireAfterTheirTerm) {
   TenantAccount follower(kBounds, kLimit);
-  follower.setRole(Place::kFollower, 0, kStart);
+  follower.setRole(QuotaRole::kFollower, 0, kStart);
   follower.addPrefetched(10, kStart + Milliseconds(300));
   BOOST_TEST((follower.claim(4, kStart + Milliseconds(300)).verdict == Verdict::kAskSource));
 }
 
 BOOST_AUTO_TEST_CASE(aRefusalHoldsBriefly) {
   TenantAccount follower(kBounds, kLimit);
-  follower.setRole(Place::kFollower, 0, kStart);
+  follower.setRole(QuotaRole::kFollower, 0, kStart);
   follower.onRefused(Milliseconds(40), kStart);
   BOOST_TEST((follower.claim(1, kStart + Milliseconds(39)).verdict == Verdict::kRefused));
   BOOST_TEST((follower.claim(1, kStart + Milliseconds(40)).verdict == Verdict::kAskSource));
@@ -83,7 +83,7 @@
 
 BOOST_AUTO_TEST_CASE(aDisconnectedNodeContinuesBrieflyAtItsRecentRate) {
   TenantAccount follower(kBounds, kLimit);
-  follower.setRole(Place::kFollower, 0, kStart);
+  follower.setRole(QuotaRole::kFollower, 0, kStart);
   for (int count = 0; count < 40; ++count) {
     follower.onGranted(10, kStart);
   }
@@ -103,14 +103,14 @@
 BOOST_AUTO_TEST_CASE(aStalledProcessDiscardsHeldUnits) {
   QuotaCore root(kBounds);
   root.applyLimits({{TenantId("t"), kLimit}}, kStart);
-  root.setRole({Place::kRoot, 1}, kStart);
+  root.setRole({QuotaRole::kRoot, 1}, kStart);
   const TenantKey key = keyOf(TenantId("t"));
   for (Milliseconds passed{0}; passed < Milliseconds(5000);
        passed += QuotaCore::kRoleRefreshInterval) {
-    root.setRole({Place::kRoot, 1}, kStart + passed);
+    root.setRole({QuotaRole::kRoot, 1}, kStart + passed);
   }
   BOOST_TEST(root.findAccount(key)->heldAt(kStart + Milliseconds(5000)) == 1000);
-  root.setRole({Place::kRoot, 1}, kStart + Milliseconds(9000));
+  root.setRole({QuotaRole::kRoot, 1}, kStart + Milliseconds(9000));
   BOOST_TEST(root.findAccount(key)->heldAt(kStart + Milliseconds(9000)) ==
              Allowance(kBounds, kLimit).initialContent);
 }
@@ -121,7 +121,7 @@
 }
 
 /// A core in the given role, with the limit in force since kStart.
-QuotaCore makeCore(Place role) {
+QuotaCore makeCore(QuotaRole role) {
   QuotaCore core(kBounds);
   core.applyLimits({{TenantId("t"), kLimit}}, kStart);
   core.setRole({role, 0.5}, kStart);
@@ -134,13 +134,13 @@
 BOOST_AUTO_TEST_CASE(anAnswerAddsAtMostTheClaimedUnitsForAtMostTheOwnTerm) {
   const Milliseconds term = Allowance(kBounds, kLimit).prefetchTerm;
   const Claim claim{keyOf(TenantId("t")), 1, 50};
-  QuotaCore follower = makeCore(Place::kFollower);
+  QuotaCore follower = makeCore(QuotaRole::kFollower);
   static_cast<void>(follower.onAnswer(claim, kUnboundedAnswer, kStart, kStart));
   TenantAccount& account = *follower.findAccount(claim.tenant);
   BOOST_TEST(account.heldAt(kStart) == 50);
   BOOST_TEST(account.heldAt(kStart + term - Milliseconds(1)) == 50);
   BOOST_TEST(account.heldAt(kStart + term) == 0);
-  QuotaCore root = makeCore(Place::kRoot);
+  QuotaCore root = makeCore(QuotaRole::kRoot);
   TenantAccount& borrower = *root.findAccount(claim.tenant);
   const double own = borrower.heldAt(kStart);
   BOOST_TEST(root.onBorrowed(claim, kUnboundedAnswer, kStart) == 50);
@@ -155,12 +155,12 @@
   const MonotonicTime changed = kStart + Milliseconds(10);
   const MonotonicTime arrived = kStart + Milliseconds(20);
   for (const bool removedBetween : {false, true}) {
-    QuotaCore core = makeCore(Place::kFollower);
+    QuotaCore core = makeCore(QuotaRole::kFollower);
     if (removedBetween) {
       core.applyLimits({}, changed);
     }
     core.applyLimits({{TenantId("t"), {100, 100}}}, changed);
-    core.setRole({Place::kFollower, 0}, changed);
+    core.setRole({QuotaRole::kFollower, 0}, changed);
     static_cast<void>(core.onAnswer(claim, answer, kStart, arrived));
     BOOST_TEST(core.onBorrowed(claim, answer, kStart) == 0);
     BOOST_TEST(core.findAccount(claim.tenant)->heldAt(arrived) == 0);
