--- a/src/common/error.h
+++ b/src/common/error.h
@@ -10,7 +10,7 @@
 namespace calicodrift {
 
 /// Every way in which an operation can fail. The list is closed: a new kind needs a row in
-/// `errorTable()`, which a test checks.
+/// `kErrorTable`, which a static_assert checks.
 enum class ErrorKind : unsigned {
   kMalformedRequest,
   kUnauthenticated,
