--- a/src/forward/answer_observer.h
+++ b/src/forward/answer_observer.h
@@ -69,7 +69,7 @@
   /// again.
   void onRestarted(const BackendId& server);
 
-  /// BrokenStream streams of one server count at most once in this interval, so that an event that
+  /// Broken streams of one server count at most once in this interval, so that an event that
   /// affects the whole server counts once.
   static constexpr Milliseconds kBrokenStreamInterval{1000};
   /// Time in which a crash of the server is detected after a broken stream: the next connect to it
--- a/src/forward/cache_moves.h
+++ b/src/forward/cache_moves.h
@@ -25,7 +25,7 @@
   Milliseconds resaveInterval{60'000};
   /// For this time after a store was lost, reports of other nodes about it may predate the loss.
   Milliseconds distrustPeriod{3000};
-  /// Whether cache is fetched at all, and whether it is saved to the store.
+  /// Whether cache is transferred at all, and whether it is also saved to the store.
   bool moves = true;
   bool saves = true;
 };
--- a/src/forward/forward_settings.h
+++ b/src/forward/forward_settings.h
@@ -26,18 +26,19 @@
   /// The same if newer weights than the server's were named, because it may be loading them; it is
   /// used again as soon as it reports them.
   Milliseconds weightsLoadPause{1000};
-  /// Value of Retry-After for refused callers.
+  /// Retry-After for refused callers if the error has no retry time of its own.
   Milliseconds retryAfter{300};
   /// No request begins on outdated weights later than this after newer ones were named.
   Milliseconds outdatedStartBound{8000};
-  /// Retry budget: retries earned per request, earned per second by an idle node, and the burst of
-  /// the latter.
+  /// Retry budget: retries earned per request, and a floor for nodes with few requests: retries per
+  /// second and the most that accumulate.
   double retryFraction = 0.15;
   double retryFloorPerSecond = 0.3;
   double retryFloorBurst = 3;
   /// Whether a failed request may go to another server at all.
   bool retries = true;
-  /// Whether a request fails over from a server that exceeds its patience.
+  /// Whether a request fails over from a server that has not sent the head of its answer, or the
+  /// next event, in time.
   bool failoverOnSilence = true;
   /// Whether requests that no server can begin in time are refused.
   bool queueAdmission = true;
--- a/src/forward/forwarder.h
+++ b/src/forward/forwarder.h
@@ -114,7 +114,7 @@
   /// @param wait time until the first of the service's servers may accept a request again.
   Error atLimitsError(const Job& job, Milliseconds wait);
   /// The error if no server may get the job: kOverloaded with a retry time if servers are excluded
-  /// only because they asked for a rest, otherwise kNoBackend.
+  /// only because they asked to receive no requests for now, otherwise kNoBackend.
   Error noServerError(const Job& job, MonotonicTime now);
   Result<ChosenServer> chooseFrom(Job& job, const AllowedServers& allowed, MonotonicTime now);
   /// Returns the stable version's server that holds the job's common prefix.
--- a/src/forward/forwarder_choice.cc
+++ b/src/forward/forwarder_choice.cc
@@ -44,7 +44,7 @@
     }
     const server_limits::UnitResult unit = co_await limits.take(server);
     if (unit.granted) {
-      choice.value().usedLimitUnit = unit.tookUnit;
+      choice.value().usedLimitUnit = unit.usedLimitUnit;
       choice.value().atLimitCount = avoided.size() - static_cast<std::size_t>(triedBefore);
       break;
     }
@@ -72,8 +72,8 @@
   if (!backedOff.firstEnd) {
     return fail(ErrorKind::kNoBackend, "no usable server of '" + job.service + "'");
   }
-  Error error =
-      fail(ErrorKind::kOverloaded, "all servers of '" + job.service + "' have asked for a rest");
+  Error error = fail(ErrorKind::kOverloaded, "all servers of '" + job.service +
+                                                 "' have asked to receive no requests for now");
   error.reason = "servers_at_rest";
   error.retryAfter =
       limits::spreadReturn(std::chrono::ceil<Milliseconds>(*backedOff.firstEnd - now), random_);
--- a/src/forward/protocol.h
+++ b/src/forward/protocol.h
@@ -85,7 +85,7 @@
   kFenced,
   /// Another server has the address.
   kAnotherServer,
-  /// The server does not support the order.
+  /// Any other answer, for example because the server does not know the order.
   kRefused,
 };
 
--- a/src/forward/request_log.h
+++ b/src/forward/request_log.h
@@ -44,7 +44,7 @@
   /// Age of the other nodes' load data that the choice used; empty if there was none.
   std::optional<Milliseconds> peerLoadAge;
   /// Counts of servers that were not usable: those chosen before that were at their announced
-  /// limits, and those that asked for a rest.
+  /// limits, and those that asked to receive no requests for now.
   std::size_t atLimitCount = 0;
   std::size_t restingCount = 0;
 };
--- a/src/forward/retry_rules.h
+++ b/src/forward/retry_rules.h
@@ -18,9 +18,9 @@
 /// Whether a failed dispatch may be retried.
 enum class RetryDecision {
   kNo,
-  /// The request never reached a server, so no retry budget is consumed.
+  /// The failed dispatch did not reach its server, so no retry budget is consumed.
   kFree,
-  /// A server receives the request a second time: only if the retry budget allows it.
+  /// The retry sends the request to a server once more: only if the retry budget allows it.
   kBudgeted,
 };
 
--- a/src/forward/server_calls.cc
+++ b/src/forward/server_calls.cc
@@ -57,7 +57,7 @@
 
 Result<void> ServerCalls::mayBegin(const fleet::Server& server, CallPurpose purpose) const {
   if (const auto until = context_.pool.backoffs().excludedUntil(server.id, monotonicNow())) {
-    return withdrawnError(server, "has asked for a rest");
+    return withdrawnError(server, "has asked to receive no requests for now");
   }
   if (purpose == CallPurpose::kQuery) {
     return boost::outcome_v2::success();
--- a/src/routing/least_outstanding.cc
+++ b/src/routing/least_outstanding.cc
@@ -23,8 +23,8 @@
 
 /// Keeps the candidates in the region of the cheapest one, or at most as distant as it: nearby ones
 /// while they can take the load. Keeps all of them if no distance is known.
-std::vector<std::size_t> inNearestRegion(const CandidateSet& candidates,
-                                         std::vector<std::size_t> positions) {
+std::vector<std::size_t> notFartherThanCheapest(const CandidateSet& candidates,
+                                                std::vector<std::size_t> positions) {
   if (candidates.allNearby()) {
     return positions;
   }
@@ -43,7 +43,7 @@
     const Candidate& candidate = candidates[position];
     return std::tuple(candidate.outstandingTokens, candidate.reportedRequests);
   };
-  const std::vector<std::size_t> positions = inNearestRegion(
+  const std::vector<std::size_t> positions = notFartherThanCheapest(
       candidates, withoutAvoided(request, candidates, sampledPositions(candidates, random_)));
   std::size_t best = positions.front();
   std::size_t equals = 0;
--- a/src/server_limits/server_limit_node.cc
+++ b/src/server_limits/server_limit_node.cc
@@ -163,11 +163,11 @@
   if (!reply.decided) {
     metrics_.countUndecided();
   }
-  const bool tookUnit = reply.decided && reply.granted && reply.limit.limited;
-  const bool granted = tookUnit || !isLimited(server);
+  const bool usedLimitUnit = reply.decided && reply.granted && reply.limit.limited;
+  const bool granted = usedLimitUnit || !isLimited(server);
   metrics_.countUnit(granted);
   if (granted) {
-    co_return UnitResult{true, tookUnit, Milliseconds(0)};
+    co_return UnitResult{true, usedLimitUnit, Milliseconds(0)};
   }
   const Milliseconds wait = reply.decided ? Milliseconds(reply.waitMs) : kUndecidedWait;
   refusedUntil_[key] = now + std::min(wait, kMaxRefusalTime);
--- a/src/server_limits/server_limit_node.h
+++ b/src/server_limits/server_limit_node.h
@@ -34,9 +34,9 @@
   relay::TreePosition tree;
   /// Roots that issue units, including this node if it is one.
   std::function<std::vector<Endpoint>()> grantingRoots;
-  /// Whether this node may act where only one root may; and when former roots have stopped doing
-  /// so.
+  /// Whether this node may issue units, which only one root at a time may do.
   std::function<bool()> mayGrant;
+  /// Time from which former roots have stopped issuing the units that this node may issue now.
   std::function<MonotonicTime()> settledAt;
   fleet::ServerPool& pool;
   /// Latest time at which the list of servers is known to have been current.
@@ -55,7 +55,7 @@
 struct UnitResult {
   bool granted = true;
   /// Whether a unit was taken, which means that the server has a limit.
-  bool tookUnit = false;
+  bool usedLimitUnit = false;
   /// If refused: time until a unit may be available.
   Milliseconds wait{0};
 };
@@ -105,7 +105,7 @@
   bool synchronized() const;
   void showMetrics() { metrics_.setLimited(table_.countLimited()); }
 
-  /// For a root's answer to a unit request: many times the RTT between two zones.
+  /// Timeout for a root's answer to a unit request: many times the RTT between two zones.
   static constexpr Milliseconds kUnitTimeout{120};
   /// The same if the unit may come from another tree: several RTTs between regions.
   static constexpr Milliseconds kCrossTreeUnitTimeout{600};
--- a/tests/forward/forward_test.cc
+++ b/tests/forward/forward_test.cc
@@ -206,7 +206,7 @@
   BOOST_TEST(!moves.decide(named, kStart + Milliseconds(100)).fetchFrom.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(partThatLiesInTheStoreIsNotSavedAgainSoon) {
+BOOST_AUTO_TEST_CASE(prefixInTheStoreIsNotSavedAgainSoon) {
   CacheMoves moves({Milliseconds(1200)});
   const Endpoint store = *settledQuery().store;
   moves.applyPeerSaves({{7, storeKeyOf(store)}}, kStart);
--- a/tests/routing/policy_test.cc
+++ b/tests/routing/policy_test.cc
@@ -87,7 +87,7 @@
     policy->onCompleted(request, set[0], 0, kStart);
     BOOST_TEST(policy->choose(request, set, kStart).expectedCachedBlocks == kBlocks);
 
-    // The new incarnation is known first before the loss is reported, then after it.
+    // The new incarnation gets no cached blocks, neither before nor after the loss is reported.
     set.put(engine(0, 2));
     BOOST_TEST(policy->choose(request, set, kStart).expectedCachedBlocks == 0U);
     policy->onBackendLost(set[0].id);
