--- a/src/fleet/distance.h
+++ b/src/fleet/distance.h
@@ -86,7 +86,7 @@
     MonotonicTime windowBegin{};
     Samples current;
     Samples previous;
-    /// As of the last connection, or of the end of a window since then.
+    /// RTT as of the last sample, or of the last end of a window since then; empty if it expired.
     std::optional<double> rttMs;
     /// RTT at the last reported change.
     double reportedMs = 0;
--- a/src/fleet/server.cc
+++ b/src/fleet/server.cc
@@ -7,7 +7,7 @@
     return RunOrder::kSame;
   }
   if (!reported) {
-    return RunOrder::kUnplaced;
+    return RunOrder::kUnknown;
   }
   // State learnt before any start was reported may belong to another run.
   return !known || *reported > *known ? RunOrder::kLater : RunOrder::kEarlier;
--- a/src/fleet/server.h
+++ b/src/fleet/server.h
@@ -55,8 +55,9 @@
   kEarlier,
   /// A later run: the known one has ended.
   kLater,
-  /// No start is reported although the server has reported one before: the order is unknown.
-  kUnplaced,
+  /// No start is reported although the server has reported one before: the order is unknown, and
+  /// the report must not be applied to the known run.
+  kUnknown,
 };
 RunOrder orderOf(std::optional<Incarnation> reported, std::optional<Incarnation> known);
 
--- a/src/fleet/server_pool_runs.cc
+++ b/src/fleet/server_pool_runs.cc
@@ -22,7 +22,7 @@
       return;
     case RunOrder::kEarlier:
       return;
-    case RunOrder::kUnplaced:
+    case RunOrder::kUnknown:
       if (!entry.server.draining) {
         entry.server.draining = true;
         refresh(entry, now);
--- a/src/gateway/cache_stores.cc
+++ b/src/gateway/cache_stores.cc
@@ -164,7 +164,7 @@
                             const forward::CacheStoreState& state) {
   if (store.state) {
     const fleet::RunOrder order = fleet::orderOf(state.started, store.state->started);
-    if (order == fleet::RunOrder::kEarlier || order == fleet::RunOrder::kUnplaced) {
+    if (order == fleet::RunOrder::kEarlier || order == fleet::RunOrder::kUnknown) {
       return;
     }
     if (order == fleet::RunOrder::kLater || store.state->epoch != state.epoch) {
--- a/src/quarantine/quarantine_node.cc
+++ b/src/quarantine/quarantine_node.cc
@@ -18,7 +18,7 @@
 
 /// Retry interval while the parent has not read the records itself.
 constexpr Milliseconds kStartInterval{100};
-/// Suggested to a refused caller, by when the current attempt is likely to have ended.
+/// Retry delay suggested to a refused caller: the current attempt is likely to have ended by then.
 constexpr Milliseconds kTrialRetryAfter{500};
 
 Error barred(const RequestFingerprint& request, std::size_t count) {
--- a/src/quarantine/quarantine_node.h
+++ b/src/quarantine/quarantine_node.h
@@ -87,7 +87,7 @@
   /// Decides whether the request may be sent to a server now. Fails with kRequestBarred, or with
   /// kTrialUnderWay if another attempt is in flight in the fleet or no root can admit this one.
   /// @param choices servers that the attempt may go to, the best first.
-  /// @param term time by which the attempt has ended at the latest.
+  /// @param term time until the attempt has ended at the latest.
   boost::asio::awaitable<Result<Trial>> admit(RequestFingerprint request,
                                               std::vector<ServerRun> choices, Milliseconds term);
   /// Records that a server process crashed while the request was in flight there. Returns when all
--- a/src/server_limits/notice_exchange.cc
+++ b/src/server_limits/notice_exchange.cc
@@ -32,11 +32,12 @@
                                                })) {}
 
 relay::TreeBroadcastContext NoticeExchange::treeBroadcastContext(
-    std::function<std::uint64_t()> version, std::function<LimitReport(std::uint64_t since)> news) {
+    std::function<std::uint64_t()> version,
+    std::function<LimitReport(std::uint64_t since)> changesSince) {
   return {context_.executor, [this] { return neighbours(); }, std::move(version),
-          [this, news = std::move(news)](Endpoint neighbour, std::uint64_t since, Milliseconds wait,
-                                         Milliseconds timeout) {
-            return push(std::move(neighbour), news(since), wait, timeout);
+          [this, changesSince = std::move(changesSince)](Endpoint neighbour, std::uint64_t since,
+                                                         Milliseconds wait, Milliseconds timeout) {
+            return push(std::move(neighbour), changesSince(since), wait, timeout);
           }};
 }
 
--- a/src/server_limits/notice_exchange.h
+++ b/src/server_limits/notice_exchange.h
@@ -55,7 +55,8 @@
 
  private:
   relay::TreeBroadcastContext treeBroadcastContext(
-      std::function<std::uint64_t()> version, std::function<LimitReport(std::uint64_t since)> news);
+      std::function<std::uint64_t()> version,
+      std::function<LimitReport(std::uint64_t since)> changesSince);
   std::vector<Endpoint> neighbours() const;
   boost::asio::awaitable<void> findOtherTrees();
   std::uint64_t changes() const { return limits_.changes() + context_.pool.leaving().changes(); }
--- a/src/server_limits/unit_issuer.h
+++ b/src/server_limits/unit_issuer.h
@@ -25,7 +25,8 @@
 class UnitIssuer {
  public:
   /// Takes a unit, and starts issuing the server's units if this node did not do so before.
-  /// @param settledAt if this node starts: until then another one may still issue units.
+  /// @param settledAt time until which the previous issuer may still issue units; ignored once it
+  ///   has passed for this server.
   UnitDecision take(const LimitRecord& limit, MonotonicTime settledAt, MonotonicTime now);
   /// Returns a unit whose request reached no server.
   void giveBack(fleet::ServerKey server, MonotonicTime now);
@@ -40,7 +41,8 @@
   /// Units that accumulate while none are requested. With fewer, the pauses between requests would
   /// be lost to the server; with more, an overloaded server would get too many requests at once.
   static double burstCapacity(double perSecond);
-  /// Upper bound of the wait told to callers, and the wait if the limit is 0.
+  /// Wait told to callers if the limit is 0, and upper bound of the wait for a refill. The wait for
+  /// a previous issuer (settledAt) is not bounded by it.
   static constexpr Milliseconds kMaxWait{4000};
 
  private:
--- a/src/weights/weights_loader.cc
+++ b/src/weights/weights_loader.cc
@@ -346,7 +346,7 @@
     case fleet::RunOrder::kEarlier:
       onUnusableReport(server.id, "the reported start is earlier than the known start");
       return false;
-    case fleet::RunOrder::kUnplaced:
+    case fleet::RunOrder::kUnknown:
       onUnusableReport(server.id, "the report has no start");
       return false;
   }
--- a/tests/fleet/server_notices_test.cc
+++ b/tests/fleet/server_notices_test.cc
@@ -168,7 +168,7 @@
     ServerPool pool = makePool();
     MonotonicTime now = kStart;
     std::map<std::string, std::uint64_t> starts{{"a", 1}, {"b", 1}, {"c", 1}};
-    std::map<std::string, MonotonicTime> restUntil;
+    std::map<std::string, MonotonicTime> backoffUntil;
     std::set<std::pair<std::string, std::uint64_t>> left;
     std::map<std::string, std::uint64_t> listed;
     for (unsigned step = 0; step < kSteps; ++step) {
@@ -196,7 +196,7 @@
         case 4: {
           const MonotonicTime until = now + Milliseconds(1 + draw(3000));
           pool.recordBackoff(BackendId(id), until, now);
-          restUntil[id] = std::max(restUntil[id], until);
+          backoffUntil[id] = std::max(backoffUntil[id], until);
           break;
         }
         case 5:
@@ -214,8 +214,10 @@
         if (!isCandidate(pool, name, now)) {
           continue;
         }
-        BOOST_REQUIRE_MESSAGE(!left.contains({name, started}), "leaves, seed " << seed);
-        BOOST_REQUIRE_MESSAGE(now >= restUntil[name], "rests, seed " << seed);
+        BOOST_REQUIRE_MESSAGE(!left.contains({name, started}),
+                              "offered although leaving, seed " << seed);
+        BOOST_REQUIRE_MESSAGE(now >= backoffUntil[name],
+                              "offered during its backoff, seed " << seed);
       }
     }
   }
--- a/tests/fleet/server_pool_test.cc
+++ b/tests/fleet/server_pool_test.cc
@@ -191,11 +191,11 @@
   pool.announceLoads({{BackendId("a"), WeightsVersion(2)}}, kStart);
   BOOST_TEST(usable() == 1U);
   // Other nodes learn of it.
-  std::size_t told = 0;
+  std::size_t announced = 0;
   for (const auto& [key, load] : pool.ownLoads()) {
-    told += load.loading == WeightsVersion(2) ? 1 : 0;
+    announced += load.loading == WeightsVersion(2) ? 1 : 0;
   }
-  BOOST_TEST(told == 1U);
+  BOOST_TEST(announced == 1U);
   pool.apply(makeServer("a", 2), kStart);
   BOOST_TEST(usable() == 2U);
   // The announcement no longer applies once the server has the weights.
@@ -237,7 +237,7 @@
     load = load.requests == 0 ? ServerLoad{10, 0, 0, 0} : ServerLoad{};
   }
   pool.setPeerLoads(peers, kStart);
-  // Ten requests wait for the two slots of the other server.
+  // Ten requests of other nodes are in flight on the two slots of the other server.
   BOOST_TEST(pool.maxQueueWait() > Milliseconds(1000));
 }
 
--- a/tests/fleet/server_runs_test.cc
+++ b/tests/fleet/server_runs_test.cc
@@ -132,14 +132,14 @@
   pool.apply(makeRun(kFirst), kStart);
   pool.announceLoads({{kId, WeightsVersion(2)}}, kStart);
   const ServerKey first = keyOf(makeRun(kFirst));
-  const ServerLoads told{{first, ServerLoad{3, 900, 500, 0, WeightsVersion(2)}}};
-  pool.setPeerLoads(told, kStart);
+  const ServerLoads peerLoads{{first, ServerLoad{3, 900, 500, 0, WeightsVersion(2)}}};
+  pool.setPeerLoads(peerLoads, kStart);
   BOOST_TEST(usable()[0].peerRequests == 3U);
   pool.apply(makeRun(kSecond), kStart);
   BOOST_TEST(usable()[0].peerRequests == 0U);
   BOOST_TEST(pool.ownLoads().begin()->second.loading.value() == 0U);
   // A peer that has not learnt of the restart still reports the earlier run.
-  pool.setPeerLoads(told, kStart);
+  pool.setPeerLoads(peerLoads, kStart);
   BOOST_TEST(usable()[0].peerRequests == 0U);
   pool.setPeerLoads({{keyOf(makeRun(kSecond)), ServerLoad{2, 1, 1}}}, kStart);
   BOOST_TEST(usable()[0].peerRequests == 2U);
--- a/tests/quarantine/crash_ledger_test.cc
+++ b/tests/quarantine/crash_ledger_test.cc
@@ -115,9 +115,9 @@
   crashSeparately(first, 1, 1, 3, now);
   CrashLedger second;
   second.recordCrash(request(1), run(4), kShort, kStart);
-  const std::vector<Suspect> told = first.changedSince(0);
+  const std::vector<Suspect> reports = first.changedSince(0);
   for (int time = 0; time < 2; ++time) {
-    for (const Suspect& suspect : told) {
+    for (const Suspect& suspect : reports) {
       second.merge(suspect, now);
     }
     for (const Suspect& suspect : second.changedSince(0)) {
