--- a/src/lease/lease_record.cc
+++ b/src/lease/lease_record.cc
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Leases last seconds. A longer one, which would block the fleet, counts as malformed.
+/// Leases last seconds. A record with a longer duration than this counts as malformed, because a
+/// lease that does not expire in time would block the fleet.
 constexpr Milliseconds kMaxDuration = std::chrono::minutes(10);
 /// Leaves room for tokens to increase.
 constexpr std::uint64_t kMaxToken = std::uint64_t{1} << 62U;
--- a/src/relay/relay_core.cc
+++ b/src/relay/relay_core.cc
@@ -229,8 +229,8 @@
   reply.depth = depth_;
   reply.roots = roots_;
   reply.proofAgeMs = std::chrono::ceil<Milliseconds>(now - provenAt).count();
-  const bool circle = parent() == request.endpoint;
-  if (!serves(now) || circle || depth_ >= settings_.maxDepth) {
+  const bool formsCycle = parent() == request.endpoint;
+  if (!serves(now) || formsCycle || depth_ >= settings_.maxDepth) {
     return reply;
   }
   if (request.probeOnly) {
@@ -418,8 +418,8 @@
     return randomDelay(settings_.claimDelay);
   }
   // If the roots are lost together, the children of all of them look for a root at the same time.
-  const auto crowd = static_cast<std::int64_t>(siblings_ * settings_.rootCount);
-  return randomDelay(std::min(settings_.claimDelay, crowd * settings_.claimDelayPerNode));
+  const auto competitors = static_cast<std::int64_t>(siblings_ * settings_.rootCount);
+  return randomDelay(std::min(settings_.claimDelay, competitors * settings_.claimDelayPerNode));
 }
 
 Milliseconds RelayCore::randomDelay(Milliseconds longest) {
--- a/src/relay/relay_node.h
+++ b/src/relay/relay_node.h
@@ -30,8 +30,8 @@
   /// Rejects children and removes this node from the list of roots.
   boost::asio::awaitable<void> stop();
   RelayedStore& store() { return store_; }
-  /// Sets the listener for changes of the source of views, and for reads of views from the store
-  /// itself.
+  /// Sets the listener for changes of the source of views, and for rounds of refreshes in which a
+  /// stale view was read from the store in addition to the source.
   void onSourceChanged(std::function<void()> listener) { onSourceChanged_ = std::move(listener); }
   /// Sets the listener for each reading of a list of roots that cannot be decoded.
   void onUnreadableList(std::function<void(const store::Object&, const Error&)> listener) {
--- a/src/relay/view_refresh_scheduler.cc
+++ b/src/relay/view_refresh_scheduler.cc
@@ -11,8 +11,8 @@
 constexpr int kCallTimeoutDivisor = 8;
 constexpr int kFirstPauseDivisor = 24;
 /// A node that regains its path to the store reads within one and a half times the longest pause.
-/// That pause equals the read age, which keeps the view below the bound. Growth limits the load
-/// from failing calls, each of which has a cost.
+/// The longest pause equals the read age, so this takes less time than the bound. Growth limits
+/// the load from failing calls, each of which has a cost.
 constexpr int kPauseGrowth = 2;
 /// Nodes below this depth all have the same stagger; most views have arrived by a shorter path by
 /// then.
--- a/tests/relay/configuration_age_test.cc
+++ b/tests/relay/configuration_age_test.cc
@@ -152,9 +152,9 @@
     tree.run(Milliseconds(6000));
     BOOST_TEST(tree.mostViewReadingsInASecond() <= 3 * nodes);
     BOOST_TEST(tree.viewReadings() - before <= 8 * nodes, tree.viewReadings() - before);
-    BOOST_TEST_MESSAGE(nodes << " nodes, store away for 9 s: " << tree.viewReadings() - before
-                             << " readings, " << tree.mostViewReadingsInASecond()
-                             << " in the worst second");
+    BOOST_TEST_MESSAGE(nodes << " nodes, store unavailable for 9 s: "
+                             << tree.viewReadings() - before << " readings, "
+                             << tree.mostViewReadingsInASecond() << " in the worst second");
     BOOST_TEST(tree.oldestViewWithPath(Milliseconds(0)).count() <= fleet.bound.count());
   }
 }
--- a/tests/relay/replaced_roots_test.cc
+++ b/tests/relay/replaced_roots_test.cc
@@ -1,4 +1,4 @@
-// RefreshSchedulers against more nodes granting a root's share than the list of roots names.
+// Guards against more nodes granting a root's share than the list of roots names.
 //
 // A root that lost its path to the store, or resumed after a stall, was replaced in the list but
 // continued as a root until its next reading of the list, up to 10 s later. Meanwhile its successor
@@ -103,7 +103,7 @@
       most = std::max(most, mostGranting(tree, Milliseconds(any(0, 3000))));
     }
     most = std::max(most, mostGranting(tree, Milliseconds(14'000)));
-    BOOST_TEST(most <= 2U, "seed " << seed << ": " << most << " nodes hand out a root's part");
+    BOOST_TEST(most <= 2U, "seed " << seed << ": " << most << " nodes grant a root's share");
     BOOST_TEST(tree.grantingRoots().size() == 2U, "seed " << seed << ": too few at the end");
   }
 }
--- a/tests/relay/stale_views_test.cc
+++ b/tests/relay/stale_views_test.cc
@@ -99,7 +99,7 @@
   BOOST_TEST(oldest("b") < kOldest);
   BOOST_TEST(age("a") > kOldest);
   BOOST_TEST(changes > 0U);
-  // The backoff is at least 4 ms and doubles up to 100 ms.
+  // With the shortest jitter, the backoff starts at 4 ms and doubles up to 100 ms.
   BOOST_TEST(store.refusals <= 24U);
 }
 
