--- a/src/weights/weights_history.cc
+++ b/src/weights/weights_history.cc
@@ -8,7 +8,8 @@
 /// More versions than are in use at once, so a dropped version expired long before.
 constexpr std::size_t kMaxNamings = 16;
 
-/// Expiry after two consecutive gaps: the earlier one of those that have not passed.
+/// Expiry after two consecutive gaps: the earlier one, or that of the second gap if the first has
+/// passed.
 MonotonicTime combineExpiries(MonotonicTime before, MonotonicTime after, MonotonicTime now) {
   return now < before ? std::min(before, after) : after;
 }
@@ -100,16 +101,16 @@
 std::optional<fleet::NamedWeights> WeightsHistory::exportNamings(const ModelId& model,
                                                                  const WeightsTerms& terms,
                                                                  MonotonicTime now) const {
-  fleet::NamedWeights received;
-  received.model = model;
-  received.floor = confirmedLeast(terms, now);
-  received.coveredFrom = std::max(coveredFrom_, received.floor);
+  fleet::NamedWeights exported;
+  exported.model = model;
+  exported.floor = confirmedLeast(terms, now);
+  exported.coveredFrom = std::max(coveredFrom_, exported.floor);
   // Versions that have expired on all nodes are reported for one more term, for nodes that can't
   // read them from the store.
   if (newestNamedFor(2 * terms.send, now) >= newest()) {
     return std::nullopt;
   }
-  for (auto naming = namings_.lower_bound(received.coveredFrom); naming != namings_.end();
+  for (auto naming = namings_.lower_bound(exported.coveredFrom); naming != namings_.end();
        ++naming) {
     // The time of this naming is not known; the entry only bounds the versions before it.
     if (naming->first == coveredFrom_ && naming->second.source == NamingSource::kDiscovered) {
@@ -117,10 +118,10 @@
     }
     // Rounded down, so that an age doesn't grow by being passed from node to node.
     const auto age = std::chrono::floor<Milliseconds>(now - naming->second.since);
-    received.namings.push_back({naming->first, age});
+    exported.namings.push_back({naming->first, age});
   }
-  const bool isEmpty = received.namings.empty() && received.floor == WeightsVersion();
-  return isEmpty ? std::nullopt : std::optional(received);
+  const bool isEmpty = exported.namings.empty() && exported.floor == WeightsVersion();
+  return isEmpty ? std::nullopt : std::optional(exported);
 }
 
 WeightsVersion WeightsHistory::newest() const {
--- a/src/weights/weights_loader.h
+++ b/src/weights/weights_loader.h
@@ -22,8 +22,8 @@
 struct WeightsLoaderSettings {
   /// Name under which this process sends orders; unique for each start.
   std::string holder;
-  /// Minimum number of concurrent loads. One load per `serversPerLoad` servers with models is
-  /// allowed if that is more.
+  /// Limit on concurrent loads; raised to one per `serversPerLoad` servers with models if that is
+  /// more.
   std::int64_t maxConcurrentLoads = 2;
   std::int64_t serversPerLoad = 6;
   /// Minimum time between this node learning of newer weights and an order to a server; the longest
--- a/src/weights/weights_targets.cc
+++ b/src/weights/weights_targets.cc
@@ -40,13 +40,13 @@
 }
 
 std::vector<fleet::NamedWeights> WeightsTargets::exportNamings(MonotonicTime now) const {
-  std::vector<fleet::NamedWeights> received;
+  std::vector<fleet::NamedWeights> exported;
   for (const auto& [model, history] : histories_) {
     if (auto named = history.exportNamings(model, terms_, now)) {
-      received.push_back(std::move(*named));
+      exported.push_back(std::move(*named));
     }
   }
-  return received;
+  return exported;
 }
 
 std::optional<WeightsVersion> WeightsTargets::newest(const ModelId& model) const {
--- a/tests/service_rollout/canary_analyzer_test.cc
+++ b/tests/service_rollout/canary_analyzer_test.cc
@@ -187,7 +187,7 @@
 
 BOOST_AUTO_TEST_CASE(answersCountedTwiceDoNotRejectASoundVersion) {
   constexpr int kTicks = 30;
-  constexpr int kDuplicateTicks = 10;
+  constexpr int kDuplicateTicks = 10;  // 1 s at one update every 100 ms
   for (std::size_t seed = 0; seed < 300; ++seed) {
     CanaryAnalyzer analyzer{CanaryAnalyzerSettings()};
     Scenario scenario;
