--- a/src/claims/claim_replica.h
+++ b/src/claims/claim_replica.h
@@ -21,8 +21,8 @@
 ///
 /// Across a restart: a vote of an earlier incarnation was for a key at most one clock bound ahead
 /// of that incarnation's clock, which was at most one bound ahead of the current clock. A key later
-/// than `voteHistoryStart` + 2 clock bounds therefore cannot have been voted on before; the replica
-/// abstains on all other keys.
+/// than `voteHistoryStart_` + 2 clock bounds therefore cannot have been voted on before; the
+/// replica abstains on all other keys.
 class ClaimReplica {
  public:
   explicit ClaimReplica(const ClaimSettings& settings) : settings_(settings) {}
--- a/src/claims/view_agent.cc
+++ b/src/claims/view_agent.cc
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxConfirmations = 16;
 constexpr Milliseconds kEvaluationInterval{100};
 constexpr Milliseconds kFirstViewDelay{1000};
-/// If a node has not succeeded in joining a view after this time, it sends join requests less
+/// A node that still needs to join this long after it adopted its view sends join requests less
 /// often.
 constexpr Milliseconds kFastJoinPeriod{3000};
 constexpr int kSlowJoinFactor = 10;
--- a/src/exchange/messages.h
+++ b/src/exchange/messages.h
@@ -86,7 +86,8 @@
 std::vector<NamedWeightsEntry> toEntries(const std::vector<fleet::NamedWeights>& named);
 std::vector<fleet::NamedWeights> toNamedWeights(const std::vector<NamedWeightsEntry>& entries);
 
-/// Lists only servers with non-zero load. Values beyond the range of a field are capped.
+/// Lists only servers for which any field is set, also those without load that are unreachable or
+/// have a weights load announced. Values beyond the range of a field are capped.
 std::vector<LoadEntry> toEntries(const fleet::ServerLoads& loads);
 fleet::ServerLoads toLoads(const std::vector<LoadEntry>& entries);
 
--- a/src/quota/quota_core.h
+++ b/src/quota/quota_core.h
@@ -32,8 +32,8 @@
 
   /// Replaces the limits; a tenant that is not listed is unlimited.
   void applyLimits(const std::map<TenantId, TenantLimit>& limits, MonotonicTime now);
-  /// Sets the role of this node. Must be called at least every kPulse, also if nothing has changed:
-  /// a longer interval between calls means that the process was stalled.
+  /// Sets the role of this node. Must be called at least every kRoleRefreshInterval, also if
+  /// nothing has changed: a longer interval between calls means that the process was stalled.
   void setRole(const QuotaRoleShare& role, MonotonicTime now);
 
   /// True if any tenant has a limit.
--- a/tests/claims/claim_view_test.cc
+++ b/tests/claims/claim_view_test.cc
@@ -24,9 +24,9 @@
   }
 }
 
-/// Two of three replicas move to a second epoch with two new nodes, restart without the object API,
-/// and then can reach only the third replica, which is still in the first epoch. Returns the
-/// maximum number of dispatches of a key.
+/// Two of three replicas move to a second epoch with two new nodes and restart without the object
+/// API. They can then reach only each other and the third replica, which is still in the first
+/// epoch. Returns the maximum number of dispatches of a key.
 int maxDispatchesAfterOldEpochIsOffered(bool proveCurrentEpoch) {
   ClaimSettings settings = shortTimeoutSettings();
   settings.rules.proveCurrentEpoch = proveCurrentEpoch;
--- a/tests/exchange/load_table_test.cc
+++ b/tests/exchange/load_table_test.cc
@@ -53,7 +53,7 @@
   second[kServer].loading = WeightsVersion(2);
   addLoads(sum, first);
   addLoads(sum, second);
-  // A server with announced weights is reported even without load.
+  // A server whose weights load is announced is listed even if it has no requests.
   const std::vector<LoadEntry> entries = toEntries(sum);
   BOOST_REQUIRE(entries.size() == 1U);
   BOOST_TEST((toLoads(entries).at(kServer).loading == WeightsVersion(3)));
--- a/tests/exchange/save_log_test.cc
+++ b/tests/exchange/save_log_test.cc
@@ -46,9 +46,9 @@
   SaveLog log;
   log.append({{1, 9}}, false);
   log.append({{2, 9}}, true);
-  const std::vector<fleet::SavedPart> receivedSaves = takeBatch(log, "relay", true);
-  BOOST_REQUIRE(receivedSaves.size() == 1U);
-  BOOST_TEST((receivedSaves[0] == fleet::SavedPart{2, 9}));
+  const std::vector<fleet::SavedPart> sentSaves = takeBatch(log, "relay", true);
+  BOOST_REQUIRE(sentSaves.size() == 1U);
+  BOOST_TEST((sentSaves[0] == fleet::SavedPart{2, 9}));
   BOOST_TEST(takeBatch(log, "follower", false).size() == 2U);
 }
 
@@ -58,9 +58,9 @@
   for (std::uint64_t part = 0; part < 5000; ++part) {
     log.append({{part, 9}}, true);
   }
-  const std::vector<fleet::SavedPart> receivedSaves = takeBatch(log, "a", false);
-  BOOST_TEST(receivedSaves.size() == 4096U);
-  BOOST_TEST(receivedSaves.back().part == 4999U);
+  const std::vector<fleet::SavedPart> sentSaves = takeBatch(log, "a", false);
+  BOOST_TEST(sentSaves.size() == 4096U);
+  BOOST_TEST(sentSaves.back().part == 4999U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
