--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -294,13 +294,14 @@
   if (relay_.isWholeTree()) {
     return {quota::QuotaRole::kRoot, ofGroup};
   }
-  // The proof of a place costs the store calls: only where there are limits to keep.
+  // Proving the role takes calls to the store, so it is done only if there are limits to enforce.
   if (relay_.isRelay() && quota_.hasLimits() && !relay_.mayGrant()) {
-    // Its former run, or the node whose place it took, may still give this part away.
+    // Its former run, or the node that it replaced, may still grant this share.
     return {quota::QuotaRole::kFollower, 0};
   }
   if (relay_.isRelay()) {
-    // While one of the two is being replaced its part is not minted, as it may live on unseen.
+    // While one of the two is being replaced, its share is not issued, because the replaced root
+    // may still be running unnoticed.
     const std::size_t roots = std::max<std::size_t>(2, relay_.roots().size() + 1);
     return {quota::QuotaRole::kRoot, ofGroup / static_cast<double>(roots)};
   }
--- a/src/gateway/gateway_node.h
+++ b/src/gateway/gateway_node.h
@@ -63,11 +63,11 @@
   relay::TreePosition treePosition();
   quarantine::QuarantineContext quarantineContext();
   server_limits::ServerLimitContext serverLimitContext();
-  /// Asks a server for its health, for what the head of its answer says.
+  /// Probes a server's health, for the data in the head of its answer.
   boost::asio::awaitable<void> askForNotices(fleet::Server server);
-  /// Takes a unit for a question of health, where the server names a limit.
+  /// Takes a unit for a health probe if the server names a limit.
   boost::asio::awaitable<bool> mayProbe(fleet::Server server);
-  /// Where this node stands in the tree that keeps the tenants' limits.
+  /// Role and share of this node in the tree that enforces the tenants' limits.
   quota::QuotaRoleShare quotaRole();
   void onTable(const routes::RouteTable& table);
   void onServerLost(const fleet::Server& server, fleet::ServerLoss loss);
@@ -92,7 +92,7 @@
   CacheStores cacheStores_;
   relay::RelayNode relay_;
   exchange::NodeExchange exchange_;
-  /// Of the other regions' trees.
+  /// Roots of the other regions' trees.
   relay::RemoteGroupRoots remoteGroupRoots_;
   quota::QuotaMetrics quotaMetrics_;
   quota::QuotaNode quota_;
--- a/src/gateway/server_prober.cc
+++ b/src/gateway/server_prober.cc
@@ -12,8 +12,8 @@
 
 constexpr Milliseconds kProbeInterval{400};
 constexpr Milliseconds kProbeTimeout{350};
-/// A probe takes two ways to the server and back, one for the connection; twice that is for a slow
-/// server.
+/// A probe takes two round trips to the server, one of them for the connection; twice that allows
+/// for a slow server.
 constexpr double kProbeRoundTrips = 4;
 
 }  // namespace
--- a/src/gateway/service_rollouts.cc
+++ b/src/gateway/service_rollouts.cc
@@ -378,7 +378,7 @@
   const MonotonicTime now = monotonicNow();
   const std::set<OrderKey> keys = underWay();
   for (const auto& [key, seen] : others) {
-    // What was seen of an order that has ended is not told on.
+    // Observations of an order that has ended are not passed on.
     if (keys.contains(key)) {
       observer_.updateAge(key, seen.age, now);
     }
--- a/src/gateway/service_rollouts.h
+++ b/src/gateway/service_rollouts.h
@@ -82,7 +82,7 @@
     MonotonicTime at;
     bool hadState = false;
   };
-  /// What this node keeps of an order under way.
+  /// State that this node keeps of an active order.
   struct Progress {
     explicit Progress(service_rollout::CanaryAnalyzerSettings settings) : analyzer(settings) {}
 
--- a/src/gateway/store_views.cc
+++ b/src/gateway/store_views.cc
@@ -256,7 +256,7 @@
     listeners_.onLeastWaiting(model, targets_.leastWaitable(model, now));
   }
   nextTermEnd_ = targets_.nextExpiry(now);
-  // A naming may have brought the next end nearer.
+  // A naming may have made the next expiry earlier.
   termTimer_.cancel();
 }
 
--- a/src/gateway/store_views.h
+++ b/src/gateway/store_views.h
@@ -51,7 +51,7 @@
   forward::WeightsView weights(const ModelId& model, WeightsVersion version) const;
   /// Ages of namings were corrected.
   void onNamingsLearnt() { refreshLeastWeights(); }
-  /// Takes versions whose term has ended out of use; called before a choice, as the timer of a busy
+  /// Removes versions whose term has expired; called before a choice, because the timer of a busy
   /// node is late.
   void removeExpiredWeights();
   /// Whether the list of servers and the named weights were read: before that nothing is known of
--- a/src/gateway/weights_floor.cc
+++ b/src/gateway/weights_floor.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Between two looks. A term lasts seconds, and a node that starts within this time after its end
-/// uses the older weights for WeightsTargets::kDiscoveredTerm at most.
+/// Interval between two checks. A term lasts seconds, and a node that starts within this time after
+/// its end uses the older weights for WeightsTargets::kDiscoveredTerm at most.
 constexpr Milliseconds kInterval{250};
 /// Nodes wait for different parts of this time, so that mostly one writes and the others see it.
 constexpr Milliseconds kLongestDelay{200};
--- a/src/gateway/weights_floor.h
+++ b/src/gateway/weights_floor.h
@@ -30,10 +30,10 @@
 /// a restart of all nodes. A node reads it with the naming, in the same call.
 ///
 /// Without it a node that restarts together with all others uses every version that servers hold
-/// for WeightsTargets::kDiscoveredTerm, also those that ran out long before. A naming costs one or
+/// for WeightsTargets::kDiscoveredTerm, also those that expired long before. A naming costs one or
 /// two writes a group of relays, and one change that all nodes read.
 ///
-/// Invariant: a floor only rises, and is at most what all nodes have given up: what is written is
+/// Invariant: a floor only rises, and is at most what all nodes have abandoned: what is written is
 /// known for certain (WeightsTargets::confirmedLeast), on condition that the object is as it was
 /// read.
 class WeightsFloorRecorder {
