--- a/src/fleet/server_pool_notices.cc
+++ b/src/fleet/server_pool_notices.cc
@@ -1,4 +1,4 @@
-// What servers say of themselves in their answers, which outlives their entries in the list.
+// Notices that servers send in their answers; they outlive the servers' entries in the list.
 
 #include <algorithm>
 #include <optional>
@@ -7,8 +7,8 @@
 
 namespace calicodrift::fleet {
 
-bool ServerPool::noteLeaving(ServerKey run, MonotonicTime now) {
-  if (!leaving_.note(run)) {
+bool ServerPool::recordLeaving(ServerKey run, MonotonicTime now) {
+  if (!leaving_.add(run)) {
     return false;
   }
   const auto found = std::find_if(servers_.begin(), servers_.end(),
@@ -22,37 +22,37 @@
   return true;
 }
 
-void ServerPool::forgetNotices(Milliseconds provenFor, MonotonicTime now) {
-  rests_.forgetOver(now);
+void ServerPool::expireNotices(Milliseconds freshFor, MonotonicTime now) {
+  backoffs_.removeExpired(now);
   if (!leaving_.empty()) {
-    leaving_.forgetGone([this](ServerKey run) { return findRun(run) != nullptr; }, provenFor);
+    leaving_.removeUnlisted([this](ServerKey run) { return findRun(run) != nullptr; }, freshFor);
   }
 }
 
-void ServerPool::noteRest(const BackendId& id, MonotonicTime until, MonotonicTime now) {
-  if (!rests_.note(id, until, now)) {
+void ServerPool::recordBackoff(const BackendId& id, MonotonicTime until, MonotonicTime now) {
+  if (!backoffs_.add(id, until, now)) {
     return;
   }
-  pauseEnds_.emplace(until, id);
+  pauseExpiries_.emplace(until, id);
   if (Entry* entry = entryOf(id)) {
     refresh(*entry, now);
   }
 }
 
-void ServerPool::noteSent(const BackendId& id, MonotonicTime now) {
-  if (rests_.empty()) {
+void ServerPool::recordSent(const BackendId& id, MonotonicTime now) {
+  if (backoffs_.empty()) {
     return;
   }
-  const std::optional<MonotonicTime> until = rests_.noteSent(id, now);
+  const std::optional<MonotonicTime> until = backoffs_.recordSent(id, now);
   Entry* entry = entryOf(id);
   if (until && entry != nullptr) {
-    pauseEnds_.emplace(*until, id);
+    pauseExpiries_.emplace(*until, id);
     refresh(*entry, now);
   }
 }
 
-void ServerPool::noteAnswered(const BackendId& id, MonotonicTime sentAt, MonotonicTime now) {
-  if (rests_.empty() || !rests_.noteAnswered(id, sentAt)) {
+void ServerPool::recordAnswered(const BackendId& id, MonotonicTime sentAt, MonotonicTime now) {
+  if (backoffs_.empty() || !backoffs_.recordAnswered(id, sentAt)) {
     return;
   }
   if (Entry* entry = entryOf(id)) {
@@ -60,24 +60,24 @@
   }
 }
 
-RestingServers ServerPool::restingOf(std::string_view service, const ModelId& model,
-                                     MonotonicTime now) const {
-  RestingServers resting;
-  for (const auto& [id, end] : rests_.excluded(now)) {
+BackedOffServers ServerPool::backedOffServers(std::string_view service, const ModelId& model,
+                                              MonotonicTime now) const {
+  BackedOffServers backedOff;
+  for (const auto& [id, end] : backoffs_.excluded(now)) {
     const auto found = servers_.find(id);
     if (found == servers_.end()) {
       continue;
     }
-    const std::vector<SetKey> keys = keysOf(found->second);
-    const bool isOne = std::any_of(keys.begin(), keys.end(), [&](const SetKey& key) {
+    const std::vector<SetKey> keys = eligibleSetKeys(found->second);
+    const bool matches = std::any_of(keys.begin(), keys.end(), [&](const SetKey& key) {
       return key.service == service && key.model == model;
     });
-    if (isOne) {
-      ++resting.count;
-      resting.firstEnd = std::min(end, resting.firstEnd.value_or(end));
+    if (matches) {
+      ++backedOff.count;
+      backedOff.firstEnd = std::min(end, backedOff.firstEnd.value_or(end));
     }
   }
-  return resting;
+  return backedOff;
 }
 
 }  // namespace calicodrift::fleet
--- a/src/fleet/track.h
+++ b/src/fleet/track.h
@@ -5,8 +5,8 @@
 
 namespace calicodrift::fleet {
 
-/// The two versions of a service that are told apart while an order to move it is under way.
+/// Distinguishes the two versions of a service while a rollout order is in progress.
 enum class Track : std::uint8_t { kStable, kCandidate };
-inline constexpr std::size_t kTracks = 2;
+inline constexpr std::size_t kTrackCount = 2;
 
 }  // namespace calicodrift::fleet
--- a/src/gateway/gateway_node.cc
+++ b/src/gateway/gateway_node.cc
@@ -45,7 +45,7 @@
     log::write(log::Level::kWarning, "zone_without_region",
                {{"zone", zone.value()}, {"served_as", "the farthest"}});
   };
-  listener.wayChanged = [](const ZoneId& zone, double milliseconds) {
+  listener.rttChanged = [](const ZoneId& zone, double milliseconds) {
     log::write(log::Level::kInfo, "way_learnt",
                {{"zone", zone.value()}, {"ms", std::to_string(std::lround(milliseconds))}});
   };
@@ -85,7 +85,7 @@
       relay_(context.get_executor(), ports_.store, client_,
              relaySettings(settings_, ports_.schema)),
       exchange_(exchangeContext(), exchangeSettings(settings_)),
-      otherRoots_(ports_.store, otherGroups(settings_)),
+      remoteGroupRoots_(ports_.store, otherGroups(settings_)),
       quotaMetrics_(registry_),
       quota_(quotaContext(), quotaBounds(settings_), quotaMetrics_, hashBytes(processName_)),
       serverLimitMetrics_(registry_),
@@ -127,12 +127,14 @@
              return views_.weights(model, version);
            },
            [this](std::uint64_t key) { return cacheStores_.storeFor(key); }, quota_, quarantine_,
-           serverLimits_, [this] { views_.endWeightsTerms(); }, serviceRollouts_.hooks()},
+           serverLimits_, [this] { views_.removeExpiredWeights(); }, serviceRollouts_.hooks()},
           forwardSettings(settings_), {settings_.keyProofAge, settings_.absenceProofAge},
           hashBytes(settings_.nodeId)),
       lease_(context.get_executor(), leaseStore_, std::string(kWeightsLease),
              leaseSettings(settings_, processName_),
-             [this] { return !draining_ && relay_.readsStore() && weightsLoader_.needed(); }),
+             [this] {
+               return !draining_ && relay_.readsStore() && weightsLoader_.hasOutdatedServers();
+             }),
       weightsLoader_(context.get_executor(), serverCalls_, ports_.servers, pool_, targets_, lease_,
                      orderMetrics_, weightsLoaderSettings(settings_, processName_)),
       prober_(context.get_executor(), serverCalls_, ports_.servers, pool_,
@@ -153,7 +155,7 @@
                   [this](http::Request& request, http::ResponseWriter& writer) {
                     return peerPaths_.handle(request, writer);
                   }) {
-  pool_.useDistances(distances_);
+  pool_.setDistances(distances_);
   prober_.onAsk([this](fleet::Server server) { return mayProbe(std::move(server)); });
   for (const std::string_view path : {relay::kViewPath, relay::kJoinPath, relay::kRootsPath}) {
     peerPaths_.add(std::string(path), [this](http::Request& request, http::ResponseWriter& writer) {
@@ -195,11 +197,11 @@
       },
       [this] { return forwarder_.cacheMoves().takeSaves(); },
       [this](const std::vector<fleet::SavedPart>& saves) {
-        forwarder_.cacheMoves().learnSaved(saves, monotonicNow());
+        forwarder_.cacheMoves().applyPeerSaves(saves, monotonicNow());
       },
-      [this] { return targets_.known(monotonicNow()); },
+      [this] { return targets_.exportNamings(monotonicNow()); },
       [this](const std::vector<fleet::NamedWeights>& named) {
-        if (targets_.learn(named, monotonicNow())) {
+        if (targets_.merge(named, monotonicNow())) {
           views_.onNamingsLearnt();
         }
       },
@@ -223,20 +225,20 @@
 }
 
 quota::QuotaNodeContext GatewayNode::quotaContext() {
-  quota::QuotaNodeContext context{context_.get_executor(), client_, [this] { return quotaPlace(); },
+  quota::QuotaNodeContext context{context_.get_executor(), client_, [this] { return quotaRole(); },
                                   [this] { return relay_.relay(); },
                                   [this] { return relay_.roots(); }};
   if (groupsOf(settings_) > 1) {
-    context.lenders = [this] { return otherRoots_.read(); };
+    context.lenders = [this] { return remoteGroupRoots_.read(); };
     context.viewAge = [this] {
       return std::chrono::ceil<Milliseconds>(monotonicNow() - relay_.store().provenAt());
     };
-    context.longestLendingAge = settings_.relayProofAge;
+    context.maxLendingViewAge = settings_.relayProofAge;
   }
   return context;
 }
 
-relay::TreePlace GatewayNode::treePlace() {
+relay::TreePosition GatewayNode::treePosition() {
   return {settings_.relayListen,
           [this] { return relay_.relay(); },
           [this] { return relay_.children(); },
@@ -246,10 +248,10 @@
 }
 
 quarantine::QuarantineContext GatewayNode::quarantineContext() {
-  quarantine::QuarantineContext context{context_.get_executor(), client_, treePlace(),
+  quarantine::QuarantineContext context{context_.get_executor(), client_, treePosition(),
                                         [this] { return relay_.readsStore(); }};
   if (groupsOf(settings_) > 1) {
-    context.otherTrees = [this] { return otherRoots_.read(); };
+    context.otherTrees = [this] { return remoteGroupRoots_.read(); };
   }
   return context;
 }
@@ -258,7 +260,7 @@
   server_limits::ServerLimitContext context{
       context_.get_executor(),
       client_,
-      treePlace(),
+      treePosition(),
       [this] { return relay_.newestRoots(); },
       [this] { return relay_.mayGrant(); },
       [this] { return relay_.settledAt(); },
@@ -268,7 +270,9 @@
       otherGroups(settings_),
       settings_.relayGroup.empty() ? settings_.zone : settings_.relayGroup};
   context.trees.push_back(context.ownTree);
-  context.rootsOfTree = [this](std::string tree) { return otherRoots_.readOf(std::move(tree)); };
+  context.rootsOfTree = [this](std::string tree) {
+    return remoteGroupRoots_.readGroup(std::move(tree));
+  };
   return context;
 }
 
@@ -278,29 +282,30 @@
 }
 
 awaitable<bool> GatewayNode::mayProbe(fleet::Server server) {
-  if (!serverCalls_.mayBegin(server, forward::CallPurpose::kQuestion)) {
+  if (!serverCalls_.mayBegin(server, forward::CallPurpose::kQuery)) {
     co_return false;
   }
-  const server_limits::UnitVerdict unit = co_await serverLimits_.take(std::move(server));
+  const server_limits::UnitResult unit = co_await serverLimits_.take(std::move(server));
   co_return unit.granted;
 }
 
-quota::NodePlace GatewayNode::quotaPlace() {
+quota::QuotaRoleShare GatewayNode::quotaRole() {
   const double ofGroup = 1 / static_cast<double>(groupsOf(settings_));
   if (relay_.isWholeTree()) {
-    return {quota::Place::kRoot, ofGroup};
+    return {quota::QuotaRole::kRoot, ofGroup};
   }
-  // The proof of a place costs the store calls: only where there are limits to keep.
-  if (relay_.isRelay() && quota_.limitsAny() && !relay_.mayGrant()) {
-    // Its former run, or the node whose place it took, may still give this part away.
-    return {quota::Place::kFollower, 0};
+  // Proving the role takes calls to the store, so it is done only if there are limits to enforce.
+  if (relay_.isRelay() && quota_.hasLimits() && !relay_.mayGrant()) {
+    // Its former run, or the node that it replaced, may still grant this share.
+    return {quota::QuotaRole::kFollower, 0};
   }
   if (relay_.isRelay()) {
-    // While one of the two is being replaced its part is not minted, as it may live on unseen.
+    // While one of the two is being replaced, its share is not issued, because the replaced root
+    // may still be running unnoticed.
     const std::size_t roots = std::max<std::size_t>(2, relay_.roots().size() + 1);
-    return {quota::Place::kRoot, ofGroup / static_cast<double>(roots)};
+    return {quota::QuotaRole::kRoot, ofGroup / static_cast<double>(roots)};
   }
-  return {relay_.relay() ? quota::Place::kFollower : quota::Place::kIsland, 0};
+  return {relay_.relay() ? quota::QuotaRole::kFollower : quota::QuotaRole::kDisconnected, 0};
 }
 
 Result<void> GatewayNode::start() {
@@ -340,9 +345,9 @@
   front_.setLimits(frontLimits(settings_, table.limits()));
   for (const routes::Service& service : table.services()) {
     if (service.engine) {
-      pool_.setMemory(service.name, service.engine->cacheTokens, monotonicNow());
+      pool_.setMemoryTokens(service.name, service.engine->cacheTokens, monotonicNow());
       if (settings_.mechanisms.pauseBounds) {
-        pool_.setPauseBound(service.name, table.pauseBoundOf(service.name), monotonicNow());
+        pool_.setPauseBound(service.name, table.maxStreamPauseOf(service.name), monotonicNow());
       }
     }
   }
@@ -361,7 +366,7 @@
     forwarder_.onServerLost(server.id, loss);
   }
   if (loss == fleet::ServerLoss::kUnreachable) {
-    quarantine_.noteServerGone(server);
+    quarantine_.recordServerGone(server);
   }
   if (loss == fleet::ServerLoss::kRestarted) {
     client_.dropConnections(server.endpoint);
--- a/src/gateway/module_settings.cc
+++ b/src/gateway/module_settings.cc
@@ -27,16 +27,16 @@
   const Mechanisms& mechanisms = settings.mechanisms;
   if (!mechanisms.refusalPause) {
     forward.refusalPause = Milliseconds(0);
-    forward.loadPause = Milliseconds(0);
+    forward.weightsLoadPause = Milliseconds(0);
   }
   forward.cacheMoves.moves = mechanisms.cacheMoves;
   forward.cacheMoves.saves = mechanisms.cacheSaves;
-  forward.admit = mechanisms.queueAdmission;
-  forward.learnRates = mechanisms.learntRates;
-  forward.movesOn = mechanisms.patience;
+  forward.queueAdmission = mechanisms.queueAdmission;
+  forward.learnPrefillRates = mechanisms.learntRates;
+  forward.failoverOnSilence = mechanisms.patience;
   forward.retries = mechanisms.retries;
   forward.retryAfter = settings.retryAfter;
-  forward.weightsBound = settings.weightsBound;
+  forward.outdatedStartBound = settings.weightsBound;
   forward.retryFraction = static_cast<double>(settings.retryPercent) / kPercent;
   forward.retryFloorBurst = static_cast<double>(settings.retryFloor);
   forward.retryFloorPerSecond = forward.retryFloorBurst / kFloorWindowSeconds;
@@ -61,7 +61,7 @@
   relay.zone = ZoneId(settings.zone);
   relay.group = settings.relayGroup.empty() ? settings.zone : settings.relayGroup;
   relay.endpoint = settings.relayListen;
-  relay.maxFollowers = static_cast<std::size_t>(settings.relayMaxFollowers);
+  relay.maxChildren = static_cast<std::size_t>(settings.relayMaxFollowers);
   relay.proofAge = settings.relayProofAge;
   relay.readAges = {
       {schema.configurationKind(), settings.configReadAge},
@@ -105,7 +105,7 @@
   if (!distance.regions.empty() && !settings.relayGroup.empty()) {
     distance.regions.try_emplace(distance.zone, settings.relayGroup);
   }
-  distance.otherRegionWay = settings.regionWay;
+  distance.crossRegionRtt = settings.regionWay;
   distance.preferOwnRegion = settings.mechanisms.regionHomes;
   return distance;
 }
@@ -116,11 +116,11 @@
   loader.holder = std::move(holder);
   loader.maxConcurrentLoads = settings.maxConcurrentLoads;
   if (!settings.mechanisms.loadAnnouncements) {
-    loader.announces = false;
+    loader.announceLoads = false;
     loader.rounds.schedule.lead = Milliseconds(0);
   }
   if (!settings.mechanisms.settleByQueues) {
-    loader.settleTime = loader.longestSettleTime;
+    loader.settleTime = loader.maxSettleTime;
   }
   return loader;
 }
--- a/src/gateway/service_rollouts_decisions.cc
+++ b/src/gateway/service_rollouts_decisions.cc
@@ -64,22 +64,22 @@
 void ServiceRollouts::addTraffic(const ServiceRecord& record, PlanInput& input) const {
   const fleet::ServerPool& pool = context_.pool;
   const MonotonicTime now = monotonicNow();
-  input.stableServers = pool.usableOf(record.service, record.stable, now);
-  input.stableInFlight = pool.inFlightOf(record.service, record.stable);
+  input.stableServers = pool.countUsable(record.service, record.stable, now);
+  input.stableInFlight = pool.countInFlight(record.service, record.stable);
   if (!record.candidate.value().empty()) {
-    input.candidateServers = pool.usableOf(record.service, record.candidate, now);
+    input.candidateServers = pool.countUsable(record.service, record.candidate, now);
   }
   for (const auto& [version, servers] : listedVersionsOf(record.service)) {
     if (version != record.stable) {
-      input.otherInFlight += pool.inFlightOf(record.service, version);
+      input.otherInFlight += pool.countInFlight(record.service, version);
     }
   }
   const auto found = progress_.find(keyOf(record));
   if (found != progress_.end()) {
     const Progress& progress = found->second;
-    input.seen = progress.sum;
+    input.observations = progress.sum;
     input.verdict = progress.verdict;
-    input.evidence = progress.judge.explain();
+    input.evidence = progress.analyzer.explain();
     input.requestsPerSecond = rateOf(progress);
   }
 }
@@ -98,7 +98,7 @@
       all.push_back(statusOf(service));
     }
   }
-  metrics_.show(all);
+  metrics_.setStatuses(all);
 }
 
 service_rollout::RolloutStatus ServiceRollouts::statusOf(const std::string& service) const {
@@ -121,7 +121,7 @@
     status.reached = progress.sum.reached;
     status.exposed = progress.sum.exposed;
     status.age = progress.sum.age;
-    status.evidence = progress.judge.evidence();
+    status.evidence = progress.analyzer.evidence();
   }
   return status;
 }
--- a/src/gateway/store_views.cc
+++ b/src/gateway/store_views.cc
@@ -171,7 +171,7 @@
   Result<NamedVersion> read = schema_.readWeights(object);
   if (!read) {
     unreadable_.note(schema_.weightsKind(), object, read.error());
-    readableUntil_.try_emplace(object.name, weightsWatcher_.provenBefore());
+    readableUntil_.try_emplace(object.name, weightsWatcher_.previousProvenAt());
     return;
   }
   unreadable_.clear(schema_.weightsKind(), object.name);
@@ -199,7 +199,7 @@
 MonotonicTime StoreViews::provenUntil(const std::string& object) const {
   // Nothing was read of it meanwhile, however new the view was.
   const auto until = readableUntil_.find(object);
-  return until == readableUntil_.end() ? weightsWatcher_.provenBefore() : until->second;
+  return until == readableUntil_.end() ? weightsWatcher_.previousProvenAt() : until->second;
 }
 
 void StoreViews::noteNaming(const fleet::LoadedModel& named, bool inTime, MonotonicTime provenAt) {
@@ -210,15 +210,16 @@
   const bool seen = inTime && unproven <= longestCalmProof();
   if (seen) {
     const Milliseconds late = std::max(Milliseconds(0), unproven - kHearing);
-    targets_.name(named.model, named.weights, now, late);
+    targets_.addObserved(named.model, named.weights, now, late);
   } else {
-    targets_.find(named.model, named.weights, provenAt, now);
+    targets_.addDiscovered(named.model, named.weights, provenAt, now);
   }
-  log::write(log::Level::kInfo, "weights_named",
-             {{"model", named.model.value()},
-              {"weights", std::to_string(named.weights.value())},
-              {"source", std::string(weights::toString(seen ? weights::NamingSource::kSeen
-                                                            : weights::NamingSource::kFound))}});
+  log::write(
+      log::Level::kInfo, "weights_named",
+      {{"model", named.model.value()},
+       {"weights", std::to_string(named.weights.value())},
+       {"source", std::string(weights::toString(seen ? weights::NamingSource::kObserved
+                                                     : weights::NamingSource::kDiscovered))}});
 }
 
 Milliseconds StoreViews::longestCalmProof() const {
@@ -234,12 +235,12 @@
   view.provenAt = weightsWatcher_.provenAt();
   view.newest = targets_.newest(model);
   if (const auto source = targets_.successorSource(model, version)) {
-    view.knownBy = weights::toString(*source);
+    view.source = weights::toString(*source);
   }
   return view;
 }
 
-void StoreViews::endWeightsTerms() {
+void StoreViews::removeExpiredWeights() {
   if (nextTermEnd_ && monotonicNow() >= *nextTermEnd_) {
     refreshLeastWeights();
   }
@@ -248,14 +249,14 @@
 void StoreViews::refreshLeastWeights() {
   const MonotonicTime now = monotonicNow();
   // A request begins only when it has come through its server's queue.
-  const Milliseconds beyond = pool_.longestQueue() - kQueueInMargin;
+  const Milliseconds beyond = pool_.maxQueueWait() - kQueueInMargin;
   const Milliseconds allowance = std::clamp(beyond, Milliseconds(0), kMostAllowance);
   for (const ModelId& model : targets_.models()) {
-    pool_.setLeastWeights(model, targets_.least(model, now + allowance), now);
-    listeners_.onLeastWaiting(model, targets_.leastWaiting(model, now));
+    pool_.setMinWeights(model, targets_.leastSendable(model, now + allowance), now);
+    listeners_.onLeastWaiting(model, targets_.leastWaitable(model, now));
   }
-  nextTermEnd_ = targets_.nextEnd(now);
-  // A naming may have brought the next end nearer.
+  nextTermEnd_ = targets_.nextExpiry(now);
+  // A naming may have made the next expiry earlier.
   termTimer_.cancel();
 }
 
--- a/tests/fleet/server_notices_test.cc
+++ b/tests/fleet/server_notices_test.cc
@@ -1,5 +1,5 @@
-// What servers say of themselves outlives their entries in the list: guards against a list that
-// takes back that a server leaves, and against entries, reloads or restarts that end a rest early.
+// Guards against a list of servers that revokes a server's announcement that it is leaving, and
+// against entries, reloads or restarts that end a backoff early.
 
 #include <boost/test/unit_test.hpp>
 #include <random>
@@ -41,12 +41,12 @@
 
 BOOST_AUTO_TEST_SUITE(server_notices)
 
-BOOST_AUTO_TEST_CASE(leavingIsNotTakenBackByTheList) {
+BOOST_AUTO_TEST_CASE(listingDoesNotRevokeLeaving) {
   ServerPool pool = makePool();
   const Server server = makeServer("a", 5);
   pool.apply(server, kStart);
-  BOOST_TEST(pool.noteLeaving(keyOf(server), kStart));
-  BOOST_TEST(!pool.noteLeaving(keyOf(server), kStart));
+  BOOST_TEST(pool.recordLeaving(keyOf(server), kStart));
+  BOOST_TEST(!pool.recordLeaving(keyOf(server), kStart));
   BOOST_TEST(!isCandidate(pool, "a", kStart));
   BOOST_TEST(pool.find(server.id)->draining);
   pool.apply(server, kStart + seconds(1));
@@ -58,117 +58,117 @@
   BOOST_TEST(pool.listedVersions().empty());
 }
 
-BOOST_AUTO_TEST_CASE(leavingThatIsToldBeforeTheEntryHolds) {
+BOOST_AUTO_TEST_CASE(leavingNotedBeforeTheEntryApplies) {
   ServerPool pool = makePool();
   const Server server = makeServer("a", 5);
-  BOOST_TEST(pool.noteLeaving(keyOf(server), kStart));
+  BOOST_TEST(pool.recordLeaving(keyOf(server), kStart));
   pool.apply(server, kStart);
   BOOST_TEST(!isCandidate(pool, "a", kStart));
 }
 
-BOOST_AUTO_TEST_CASE(laterRunIsFreeOfIt) {
+BOOST_AUTO_TEST_CASE(laterRunIsNotLeaving) {
   ServerPool pool = makePool();
   pool.apply(makeServer("a", 5), kStart);
-  pool.noteLeaving(keyOf(makeServer("a", 5)), kStart);
+  pool.recordLeaving(keyOf(makeServer("a", 5)), kStart);
   pool.apply(makeServer("a", 6), kStart);
   BOOST_TEST(isCandidate(pool, "a", kStart));
-  // News of the earlier run say nothing of it.
-  pool.noteLeaving(keyOf(makeServer("a", 4)), kStart);
+  // A notice of an earlier run does not apply to it.
+  pool.recordLeaving(keyOf(makeServer("a", 4)), kStart);
   BOOST_TEST(isCandidate(pool, "a", kStart));
 }
 
-BOOST_AUTO_TEST_CASE(leavingIsForgottenOnlyByAListThatIsNew) {
+BOOST_AUTO_TEST_CASE(leavingExpiresOnlyWhileTheListIsFresh) {
   LeavingServers leaving;
-  leaving.note(ServerKey(1));
-  leaving.note(ServerKey(2));
+  leaving.add(ServerKey(1));
+  leaving.add(ServerKey(2));
   const auto isListed = [](ServerKey run) { return run == ServerKey(2); };
-  leaving.forgetGone(isListed, LeavingServers::kForgetAfter - Milliseconds(1));
-  // The store is away for long.
-  leaving.forgetGone(isListed, Milliseconds(0));
+  leaving.removeUnlisted(isListed, LeavingServers::kRetention - Milliseconds(1));
+  // The store is unavailable for a long time.
+  leaving.removeUnlisted(isListed, Milliseconds(0));
   BOOST_TEST(leaving.contains(ServerKey(1)));
-  leaving.forgetGone(isListed, Milliseconds(1));
+  leaving.removeUnlisted(isListed, Milliseconds(1));
   BOOST_TEST(!leaving.contains(ServerKey(1)));
   BOOST_TEST(leaving.contains(ServerKey(2)));
 }
 
 BOOST_AUTO_TEST_CASE(leavingServersAreBounded) {
   LeavingServers leaving;
-  for (std::size_t run = 0; run < LeavingServers::kMost + 10; ++run) {
-    leaving.note(ServerKey(run));
+  for (std::size_t run = 0; run < LeavingServers::kMaxEntries + 10; ++run) {
+    leaving.add(ServerKey(run));
   }
-  BOOST_TEST(leaving.size() == LeavingServers::kMost);
-  BOOST_TEST(leaving.contains(ServerKey(LeavingServers::kMost + 9)));
+  BOOST_TEST(leaving.size() == LeavingServers::kMaxEntries);
+  BOOST_TEST(leaving.contains(ServerKey(LeavingServers::kMaxEntries + 9)));
 }
 
-BOOST_AUTO_TEST_CASE(restHoldsOverEntriesReloadsAndALaterRun) {
+BOOST_AUTO_TEST_CASE(backoffSurvivesEntriesReloadsAndALaterRun) {
   ServerPool pool = makePool();
   pool.apply(makeServer("a", 5), kStart);
-  pool.noteRest(BackendId("a"), kStart + seconds(3), kStart);
-  pool.noteRest(BackendId("a"), kStart + seconds(2), kStart);
+  pool.recordBackoff(BackendId("a"), kStart + seconds(3), kStart);
+  pool.recordBackoff(BackendId("a"), kStart + seconds(2), kStart);
   BOOST_TEST(!isCandidate(pool, "a", kStart));
   pool.apply(makeServer("a", 5, 2), kStart + seconds(1));
   BOOST_TEST(!isCandidate(pool, "a", kStart + seconds(1)));
   pool.remove(BackendId("a"));
   pool.apply(makeServer("a", 6), kStart + seconds(2));
   BOOST_TEST(!isCandidate(pool, "a", kStart + seconds(2)));
-  pool.noteAnswered(BackendId("a"), kStart + seconds(1), kStart + seconds(2));
+  pool.recordAnswered(BackendId("a"), kStart + seconds(1), kStart + seconds(2));
   BOOST_TEST(!isCandidate(pool, "a", kStart + seconds(3) - Milliseconds(1)));
   BOOST_TEST(isCandidate(pool, "a", kStart + seconds(3)));
 }
 
-BOOST_AUTO_TEST_CASE(serverIsTriedOnceAfterItsRest) {
+BOOST_AUTO_TEST_CASE(serverGetsOneTrialCallAfterItsBackoff) {
   ServerPool pool = makePool();
   const BackendId id("a");
   pool.apply(makeServer("a", 5), kStart);
-  pool.noteRest(id, kStart + seconds(1), kStart);
+  pool.recordBackoff(id, kStart + seconds(1), kStart);
   const MonotonicTime end = kStart + seconds(1);
   BOOST_TEST(isCandidate(pool, "a", end));
-  pool.noteSent(id, end);
+  pool.recordSent(id, end);
   BOOST_TEST(!isCandidate(pool, "a", end + Milliseconds(1)));
-  // An answer to a call from before the rest's end does not tell that it is well.
-  pool.noteAnswered(id, end - Milliseconds(1), end + Milliseconds(2));
+  // An answer to a call sent before the end of the backoff does not end the trial.
+  pool.recordAnswered(id, end - Milliseconds(1), end + Milliseconds(2));
   BOOST_TEST(!isCandidate(pool, "a", end + Milliseconds(2)));
-  pool.noteAnswered(id, end, end + Milliseconds(3));
+  pool.recordAnswered(id, end, end + Milliseconds(3));
   BOOST_TEST(isCandidate(pool, "a", end + Milliseconds(3)));
-  pool.noteSent(id, end + Milliseconds(4));
+  pool.recordSent(id, end + Milliseconds(4));
   BOOST_TEST(isCandidate(pool, "a", end + Milliseconds(4)));
 }
 
-BOOST_AUTO_TEST_CASE(trialWithoutAnAnswerEndsByItself) {
+BOOST_AUTO_TEST_CASE(trialWithoutAnAnswerTimesOut) {
   ServerPool pool = makePool();
   pool.apply(makeServer("a", 5), kStart);
-  pool.noteRest(BackendId("a"), kStart + seconds(1), kStart);
-  pool.noteSent(BackendId("a"), kStart + seconds(1));
-  const MonotonicTime end = kStart + seconds(1) + ServerRests::kTrialTime;
+  pool.recordBackoff(BackendId("a"), kStart + seconds(1), kStart);
+  pool.recordSent(BackendId("a"), kStart + seconds(1));
+  const MonotonicTime end = kStart + seconds(1) + ServerBackoffs::kTrialTimeout;
   BOOST_TEST(!isCandidate(pool, "a", end - Milliseconds(1)));
   BOOST_TEST(isCandidate(pool, "a", end));
 }
 
-BOOST_AUTO_TEST_CASE(restsTellWhenAServiceHasAServerAgain) {
+BOOST_AUTO_TEST_CASE(firstBackoffEndIsKnownPerService) {
   ServerPool pool = makePool();
   pool.apply(makeServer("a", 5), kStart);
   pool.apply(makeServer("b", 5), kStart);
-  BOOST_TEST(pool.restingOf("llm", kModel, kStart).count == 0U);
-  pool.noteRest(BackendId("a"), kStart + seconds(2), kStart);
-  pool.noteRest(BackendId("b"), kStart + seconds(1), kStart);
-  BOOST_TEST((pool.restingOf("llm", kModel, kStart).firstEnd == kStart + seconds(1)));
-  pool.noteLeaving(keyOf(makeServer("b", 5)), kStart);
-  BOOST_TEST((pool.restingOf("llm", kModel, kStart).firstEnd == kStart + seconds(2)));
-  BOOST_TEST(!pool.restingOf("other", kModel, kStart).firstEnd.has_value());
+  BOOST_TEST(pool.backedOffServers("llm", kModel, kStart).count == 0U);
+  pool.recordBackoff(BackendId("a"), kStart + seconds(2), kStart);
+  pool.recordBackoff(BackendId("b"), kStart + seconds(1), kStart);
+  BOOST_TEST((pool.backedOffServers("llm", kModel, kStart).firstEnd == kStart + seconds(1)));
+  pool.recordLeaving(keyOf(makeServer("b", 5)), kStart);
+  BOOST_TEST((pool.backedOffServers("llm", kModel, kStart).firstEnd == kStart + seconds(2)));
+  BOOST_TEST(!pool.backedOffServers("other", kModel, kStart).firstEnd.has_value());
 }
 
-/// Drawn courses of entries, lapses, reloads, restarts, refusals, answers in any order and pauses:
-/// no server is offered that said it leaves, or within a rest.
-BOOST_AUTO_TEST_CASE(noDrawnCourseOffersAServerThatLeavesOrRests) {
-  constexpr unsigned kCourses = 10'000;
+/// Random sequences of entries, lapses, reloads, restarts, refusals, pauses, and answers in any
+/// order: no server is offered after it announced that it is leaving, or during a backoff.
+BOOST_AUTO_TEST_CASE(randomizedSequencesNeverOfferLeavingOrBackedOffServers) {
+  constexpr unsigned kSequences = 10'000;
   constexpr unsigned kSteps = 60;
-  for (unsigned seed = 0; seed < kCourses; ++seed) {
+  for (unsigned seed = 0; seed < kSequences; ++seed) {
     std::mt19937_64 random(seed);
     const auto draw = [&random](unsigned below) { return static_cast<unsigned>(random() % below); };
     ServerPool pool = makePool();
     MonotonicTime now = kStart;
     std::map<std::string, std::uint64_t> starts{{"a", 1}, {"b", 1}, {"c", 1}};
-    std::map<std::string, MonotonicTime> restUntil;
+    std::map<std::string, MonotonicTime> backoffUntil;
     std::set<std::pair<std::string, std::uint64_t>> left;
     std::map<std::string, std::uint64_t> listed;
     for (unsigned step = 0; step < kSteps; ++step) {
@@ -183,39 +183,41 @@
           ++starts[id];
           break;
         case 2: {
-          // The list may lag behind by a start.
+          // The list may lag one start behind.
           const std::uint64_t started = starts[id] - (starts[id] > 1 ? draw(2) : 0);
           pool.apply(makeServer(id, started, 1 + draw(3)), now);
           listed[id] = std::max(listed[id], started);
           break;
         }
         case 3:
-          pool.noteLeaving(keyOf(makeServer(id, starts[id])), now);
+          pool.recordLeaving(keyOf(makeServer(id, starts[id])), now);
           left.insert({id, starts[id]});
           break;
         case 4: {
           const MonotonicTime until = now + Milliseconds(1 + draw(3000));
-          pool.noteRest(BackendId(id), until, now);
-          restUntil[id] = std::max(restUntil[id], until);
+          pool.recordBackoff(BackendId(id), until, now);
+          backoffUntil[id] = std::max(backoffUntil[id], until);
           break;
         }
         case 5:
-          pool.noteAnswered(BackendId(id), now - Milliseconds(draw(3000)), now);
+          pool.recordAnswered(BackendId(id), now - Milliseconds(draw(3000)), now);
           break;
         case 6:
           pool.markUnreachable(BackendId(id), now);
           pool.probeSucceeded(BackendId(id), now);
           break;
         default:
-          pool.forgetNotices(Milliseconds(draw(2) * 1000), now);
+          pool.expireNotices(Milliseconds(draw(2) * 1000), now);
           break;
       }
       for (const auto& [name, started] : listed) {
         if (!isCandidate(pool, name, now)) {
           continue;
         }
-        BOOST_REQUIRE_MESSAGE(!left.contains({name, started}), "leaves, seed " << seed);
-        BOOST_REQUIRE_MESSAGE(now >= restUntil[name], "rests, seed " << seed);
+        BOOST_REQUIRE_MESSAGE(!left.contains({name, started}),
+                              "offered although leaving, seed " << seed);
+        BOOST_REQUIRE_MESSAGE(now >= backoffUntil[name],
+                              "offered during its backoff, seed " << seed);
       }
     }
   }
--- a/tests/service_rollout/metrics_test.cc
+++ b/tests/service_rollout/metrics_test.cc
@@ -34,8 +34,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(rollout_metrics, MetricsFixture)
 
-BOOST_AUTO_TEST_CASE(aRolloutUnderWayIsShownWithItsFigures) {
-  metrics.show({bakingStatus()});
+BOOST_AUTO_TEST_CASE(rolloutInProgressIsShownWithItsFigures) {
+  metrics.setStatuses({bakingStatus()});
   for (const std::string_view label :
        {"candidate=\"2\"", "phase=\"baking\"", "service=\"quotes\"", "stable=\"1\"",
         "state=\"running\"", "target=\"2\"", "use=\"canary\"", "verdict=\"undecided\""}) {
@@ -46,22 +46,22 @@
   BOOST_TEST(shows("calicodrift_service_rollout_age_seconds{service=\"quotes\"} 1.5"));
 }
 
-BOOST_AUTO_TEST_CASE(whatHasChangedReplacesWhatWasShown) {
-  metrics.show({bakingStatus()});
+BOOST_AUTO_TEST_CASE(changedStatusReplacesThePreviousOne) {
+  metrics.setStatuses({bakingStatus()});
   RolloutStatus ended = bakingStatus();
   ended.phase = Phase::kSteady;
   ended.candidate = SoftwareVersion();
   ended.use = CandidateUse::kNothing;
   ended.state = OrderState::kRolledBack;
-  metrics.show({ended});
+  metrics.setStatuses({ended});
   BOOST_TEST(shows("state=\"rolled_back\""));
   BOOST_TEST(!shows("phase=\"baking\""));
   BOOST_TEST(!shows("calicodrift_service_rollout_exposed{"));
 }
 
-BOOST_AUTO_TEST_CASE(aServiceThatIsGoneIsShownNoMore) {
-  metrics.show({bakingStatus()});
-  metrics.show({});
+BOOST_AUTO_TEST_CASE(removedServiceIsNoLongerShown) {
+  metrics.setStatuses({bakingStatus()});
+  metrics.setStatuses({});
   BOOST_TEST(!shows("quotes"));
 }
 
